--- a/bench/bare_relay.cpp
+++ b/bench/bare_relay.cpp
@@ -1,7 +1,7 @@
 #include "bare_relay.h"
 
 namespace silverreach::bench {
-namespace front = fronts::http;
+namespace front = frontend::http;
 
 struct BareRelay::Connection : event::StreamOwner, http::Parser::Events {
     BareRelay& relay;
@@ -14,14 +14,17 @@
     front::Identity identity;
     front::Framing framing = front::Framing::none;
     Connection(BareRelay& r, event::Fd fd)
-        : relay(r), stream(r.loop_, std::move(fd), *this), parser(http::Parser::Kind::request, *this) {}
+        : relay(r),
+          stream(r.loop_, std::move(fd), *this),
+          parser(http::Parser::Kind::request, *this) {}
     void on_data(std::string_view bytes) override {
         parser.feed(bytes);
         if (!parser.done()) return;
         identity = front::identity_of(head, random);
         side = {head.minor, head.method == "HEAD", head.keep_alive, false};
-        auto out = std::make_shared<upstream::OutRequest>();
-        out->head = front::head_for_host(head, head.target, identity, "127.0.0.1", "relay", body.size());
+        auto out = std::make_shared<upstream_http::OutRequest>();
+        out->head =
+            front::head_for_host(head, head.target, identity, "127.0.0.1", "relay", body.size());
         out->body = std::move(body);
         const RequestId id = relay.next_++;
         relay.by_id_[id] = this;
@@ -35,10 +38,12 @@
     void on_fault(const http::Fault&) override { stream.close(); }
 };
 
-BareRelay::BareRelay(event::Loop& loop, const config::Config& config, std::vector<std::string> hosts)
+BareRelay::BareRelay(event::Loop& loop, const config::Config& config,
+                     std::vector<std::string> hosts)
     : loop_(loop),
       hosts_(std::move(hosts)),
-      upstream_(std::make_unique<upstream::Upstream>(loop, config, static_cast<upstream::Events&>(*this))) {
+      upstream_(std::make_unique<upstream_http::Upstream>(
+          loop, config, static_cast<upstream_http::Events&>(*this))) {
     listener_ = std::make_unique<event::Listener>(
         loop, "127.0.0.1", 0, false, [] { return true; },
         [this](event::Fd fd, std::string) {
@@ -49,8 +54,8 @@
 }
 BareRelay::~BareRelay() = default;
 
-bool BareRelay::answer_begins(const core::AttemptKey& key, const std::string&, Micros, const LoadReport&,
-                              http::Head& head) {
+bool BareRelay::answer_begins(const core::AttemptKey& key, const std::string&, Micros,
+                              const LoadReport&, http::Head& head) {
     Connection& c = *by_id_.at(key.request);
     c.stream.write(front::head_for_client(head, c.side, c.identity.request_id, "relay", c.framing));
     return true;
--- a/bench/bare_relay.h
+++ b/bench/bare_relay.h
@@ -1,5 +1,5 @@
-// A relay with the gateway's loop, codec and host pool, and no decision at all: what the decisions cost is
-// the difference.
+// A relay with the gateway's loop, codec and host pool, and no decision at all: what the decisions
+// cost is the difference.
 #pragma once
 
 #include <memory>
@@ -7,12 +7,12 @@
 #include <unordered_map>
 
 #include "event/listener.h"
-#include "fronts/http/translate.h"
-#include "upstream/upstream.h"
+#include "frontend/http/translate.h"
+#include "upstream/http/upstream.h"
 
 namespace silverreach::bench {
 
-class BareRelay : private upstream::Events {
+class BareRelay : private upstream_http::Events {
   public:
     BareRelay(event::Loop& loop, const config::Config& config, std::vector<std::string> hosts);
     ~BareRelay();
@@ -25,12 +25,12 @@
                        http::Head& head) override;
     void answer_body(const core::AttemptKey& key, std::string_view bytes) override;
     void answer_ended(const core::AttemptKey& key, bool whole, const http::Fields&) override;
-    void attempt_ended(const core::AttemptKey& key, const std::string&, Outcome, Micros, const LoadReport&,
-                       int) override;
-    void probe_ended(ProbeEnded) override {}
+    void attempt_ended(const core::AttemptKey& key, const std::string&, Outcome, Micros,
+                       const LoadReport&, int) override;
+    void probe_ended(HealthCheckEnded) override {}
     event::Loop& loop_;
     std::vector<std::string> hosts_;
-    std::unique_ptr<upstream::Upstream> upstream_;
+    std::unique_ptr<upstream_http::Upstream> upstream_;
     std::unordered_map<RequestId, Connection*> by_id_;
     std::unordered_map<Connection*, std::unique_ptr<Connection>> connections_;
     RequestId next_ = 1;
--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -1,5 +1,5 @@
-// Side by side in one run on one machine: hosts directly, a bare relay, and the gateway; throughput on one
-// core, added latency at half load, and memory of an idle connection.
+// Side by side in one run on one machine: hosts directly, a bare relay, and the gateway; throughput
+// on one core, added latency at half load, and memory of an idle connection.
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <sched.h>
@@ -37,7 +37,8 @@
 struct Child {
     pid_t pid = 0;
     int port = 0;
-    Child(int core, const std::function<void(event::Loop&, const std::function<void(int)>&)>& body) {
+    Child(int core,
+          const std::function<void(event::Loop&, const std::function<void(int)>&)>& body) {
         int ends[2];
         if (pipe(ends) != 0) throw std::runtime_error("no pipe");
         pid = fork();
@@ -62,7 +63,8 @@
         std::string text((std::istreambuf_iterator<char>(in)), {});
         std::istringstream rest(text.substr(text.rfind(')') + 2));
         std::string skip;
-        for (int i = 0; i < 11; ++i) rest >> skip;
+        for (int i = 0; i < 11; ++i)
+            rest >> skip;
         double user = 0, system = 0;
         rest >> user >> system;
         return (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
@@ -88,12 +90,14 @@
 )";
     std::ofstream(folder + "/api.yaml")
         << "openapi: 3.1.0\nx-silverreach-class: read\nx-silverreach-units: 1\n"
-           "components: {securitySchemes: {k: {type: apiKey, in: header, name: X-Key}}}\nsecurity: [{k: "
+           "components: {securitySchemes: {k: {type: apiKey, in: header, name: X-Key}}}\nsecurity: "
+           "[{k: "
            "[]}]\n"
            "paths:\n  /sites/{id}/tally: {get: {parameters: [{name: id, in: path}]}}\n";
     std::vector<openapi::Problem> problems;
     auto config = config::parse(text, "bench", problems);
-    for (const auto& p : problems) std::cerr << openapi::to_string(p) << "\n";
+    for (const auto& p : problems)
+        std::cerr << openapi::to_string(p) << "\n";
     return config;
 }
 
@@ -141,7 +145,8 @@
             }));
         addresses.push_back(fmt::format("127.0.0.1:{}", backs.back()->port));
         list += fmt::format(
-            "{}{{\"endpoint\":{{\"address\":{{\"socketAddress\":{{\"address\":\"127.0.0.1\",\"portValue\":{}}"
+            "{}{{\"endpoint\":{{\"address\":{{\"socketAddress\":{{\"address\":\"127.0.0.1\","
+            "\"portValue\":{}}"
             "}}}}}}}",
             i ? "," : "", backs.back()->port);
     }
@@ -165,7 +170,8 @@
         }
         usleep(500'000);
         int taken = 0;
-        for (const auto& entry : std::filesystem::directory_iterator(fmt::format("/proc/{}/fd", fresh.pid)))
+        for (const auto& entry :
+             std::filesystem::directory_iterator(fmt::format("/proc/{}/fd", fresh.pid)))
             (void)entry, ++taken;
         if (taken < 9000) std::cout << "only " << taken << " descriptors open at the gateway\n";
         std::cout << fmt::format(
@@ -188,8 +194,9 @@
                 tell(host.port());
                 loop.run();
             }));
-        targets_json += fmt::format(R"({}{{"uid":"s-{}","endpoint":"127.0.0.1:{}","state":"ready"}})",
-                                    i ? "," : "", i, resp_backs.back()->port);
+        targets_json +=
+            fmt::format(R"({}{{"uid":"s-{}","endpoint":"127.0.0.1:{}","state":"ready"}})",
+                        i ? "," : "", i, resp_backs.back()->port);
     }
     Child node(0, [&](event::Loop& loop, const std::function<void(int)>& tell) {
         log::Log log(log::Form::json, log::Level::error, folder + "/node.log");
@@ -230,12 +237,13 @@
             const auto r = bench::run(load);
             const double cpu = (t.child->cpu_seconds() - before) * r.seconds / (r.seconds + 0.5);
             if (r.bad) std::cout << fmt::format("{}: {} bad answers\n", t.name, r.bad);
-            if (r.rate() > t.best) t.best = r.rate(), t.cpu_us = cpu / static_cast<double>(r.answers) * 1e6;
+            if (r.rate() > t.best)
+                t.best = r.rate(), t.cpu_us = cpu / static_cast<double>(r.answers) * 1e6;
         }
     for (const Target& t : targets)
         std::cout << fmt::format(
-            "{:<14}{:>9.0f} requests/s {:>7.1f} us CPU a request {:>7.2f} of the bare relay\n", t.name,
-            t.best, t.cpu_us, t.best / targets[1].best);
+            "{:<14}{:>9.0f} requests/s {:>7.1f} us CPU a request {:>7.2f} of the bare relay\n",
+            t.name, t.best, t.cpu_us, t.best / targets[1].best);
     load.rate = targets[2].best / 2;
     std::cout << fmt::format("at {:.0f} requests/s, half of the gateway's:\n", load.rate);
     double p99[5] = {};
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -18,14 +18,16 @@
         if (host.protocol_ == Protocol::resp) {
             std::size_t taken = 0;
             for (resp::CommandReader reader;
-                 reader.look(std::string_view(pending).substr(taken)) == resp::Got::whole; reader.next()) {
+                 reader.look(std::string_view(pending).substr(taken)) == resp::Got::whole;
+                 reader.next()) {
                 taken += reader.size();
                 stream.write(host.answer_);
             }
             pending.erase(0, taken);
             return;
         }
-        for (auto at = pending.find("\r\n\r\n"); at != std::string::npos; at = pending.find("\r\n\r\n")) {
+        for (auto at = pending.find("\r\n\r\n"); at != std::string::npos;
+             at = pending.find("\r\n\r\n")) {
             pending.erase(0, at + 4);
             stream.write(host.answer_);
         }
@@ -36,8 +38,9 @@
 
 FixedHost::FixedHost(event::Loop& loop, std::size_t body, Protocol protocol)
     : loop_(loop), protocol_(protocol) {
-    answer_ = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: " + std::to_string(body) +
-              "\r\n\r\n" + std::string(body, 'x');
+    answer_ =
+        "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: " + std::to_string(body) +
+        "\r\n\r\n" + std::string(body, 'x');
     if (protocol == Protocol::resp) {
         answer_.clear();
         resp::append_array(answer_, 3);
@@ -64,9 +67,10 @@
         Generator& g;
         event::Stream stream;
         std::string pending;
-        std::deque<Micros>
-            due;  // when the request in hand should have left, which counts waiting for a connection
-        Connection(Generator& gen, event::Fd fd) : g(gen), stream(gen.loop, std::move(fd), *this, true) {}
+        std::deque<Micros> due;  // when the request in hand should have left, which counts waiting
+                                 // for a connection
+        Connection(Generator& gen, event::Fd fd)
+            : g(gen), stream(gen.loop, std::move(fd), *this, true) {}
         void begin(Micros at) {
             due.push_back(at);
             if (g.load.id_at > 0) {
@@ -99,8 +103,10 @@
             g.answered(due.front(), good);
             due.pop_front();
             pending.erase(0, size);
-            if (g.load.rate <= 0) begin(event::Loop::clock());
-            else g.free(*this);
+            if (g.load.rate <= 0)
+                begin(event::Loop::clock());
+            else
+                g.free(*this);
         }
         void on_end() override { on_broken(0); }
         void on_broken(int) override {
@@ -122,8 +128,10 @@
     void answered(Micros at, bool good) {
         const Micros now = event::Loop::clock();
         if (at < begin + load.warm_up || now > begin + load.warm_up + load.span) return;
-        if (!good) ++result.bad;
-        else ++result.answers, result.micros.push_back(static_cast<double>((now - at).count()));
+        if (!good)
+            ++result.bad;
+        else
+            ++result.answers, result.micros.push_back(static_cast<double>((now - at).count()));
     }
     void free(Connection& c) {
         if (waiting.empty()) return idle.push_back(&c);
@@ -141,13 +149,14 @@
             idle.back()->begin(next);
             idle.pop_back();
         }
-        loop.after(Micros(0), [this] { tick(); });  // spins: the system's timers are too coarse for this
+        loop.after(Micros(0),
+                   [this] { tick(); });  // spins: the system's timers are too coarse for this
     }
     Result run() {
         for (int i = 0; i < load.connections; ++i) {
             int error = 0;
-            connections.push_back(
-                std::make_unique<Connection>(*this, event::connect_to("127.0.0.1", load.port, false, error)));
+            connections.push_back(std::make_unique<Connection>(
+                *this, event::connect_to("127.0.0.1", load.port, false, error)));
             idle.push_back(connections.back().get());
         }
         begin = next = event::Loop::clock();
@@ -165,6 +174,8 @@
 };
 }  // namespace
 
-Result run(const Load& load) { return Generator(load).run(); }
+Result run(const Load& load) {
+    return Generator(load).run();
+}
 
 }  // namespace silverreach::bench
--- a/bench/load.h
+++ b/bench/load.h
@@ -1,5 +1,5 @@
-// A light load generator and host for measuring: fixed requests over kept connections, latencies kept
-// exactly.
+// A light load generator and host for measuring: fixed requests over kept connections, latencies
+// kept exactly.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,10 @@
 
 using Micros = std::chrono::microseconds;
 
-enum class Protocol { http, resp };
+enum class Protocol {
+    http,
+    resp
+};
 
 // Answers every request head, or every RESP2 command, with the same bytes.
 class FixedHost {
@@ -42,11 +45,13 @@
 struct Load {
     int port = 0;
     int connections = 64;
-    double rate = 0;  // requests a second in all; 0: each connection sends as soon as it is answered
+    double rate =
+        0;  // requests a second in all; 0: each connection sends as soon as it is answered
     Micros warm_up{500'000}, span{3'000'000};
     std::string request;
     Protocol protocol = Protocol::http;
-    std::size_t id_at = 0;  // where 16 digits stand in the request that are new each time; 0: nowhere
+    std::size_t id_at =
+        0;  // where 16 digits stand in the request that are new each time; 0: nowhere
 };
 Result run(const Load& load);
 
--- a/bench/parts_bench.cpp
+++ b/bench/parts_bench.cpp
@@ -1,5 +1,5 @@
-// CPU of the parts of a request, one beside the other: module, core with module, codec; and descriptions'
-// load and look-up as they grow.
+// CPU of the parts of a request, one beside the other: module, core with module, codec; and
+// descriptions' load and look-up as they grow.
 #include <benchmark/benchmark.h>
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 
 #include "accounts/journal.h"
 #include "core/core.h"
-#include "fronts/http/translate.h"
+#include "frontend/http/translate.h"
 #include "openapi/description.h"
 
 using namespace silverreach;
@@ -16,34 +16,37 @@
 namespace {
 Settings settings() {
     Settings s;
-    s.classes = {{"read", Effect::safe, RepeatScope::all, 800ms, 2s}};
+    s.classes = {{"read", Idempotency::idempotent, DeduplicationScope::all, 800ms, 2s}};
     s.plans = {{"plan", 1e6, 1e6}};
-    s.max_attempts = 3, s.second_copies = s.may_cancel = true;
-    s.tick = 4ms;
+    s.max_attempts = 3, s.may_hedge = s.may_cancel = true;
+    s.timer_tick = 4ms;
     return s;
 }
-HostsChanged hosts(int n) {
-    HostsChanged change{true, {}};
-    for (int i = 0; i < n; ++i) change.entries.push_back({fmt::format("127.0.0.1:{}", 9000 + i)});
+EndpointsChanged hosts(int n) {
+    EndpointsChanged change{true, {}};
+    for (int i = 0; i < n; ++i)
+        change.endpoints.push_back({fmt::format("127.0.0.1:{}", 9000 + i)});
     return change;
 }
-struct Null : core::Outside {
+struct Null : core::Environment {
     core::AttemptKey key;
     std::string host;
     std::vector<core::Timer> timers;
     void start_timer(Micros, core::Timer t) override { timers.push_back(t); }
-    void send(const core::AttemptKey& k, const std::string& h, Micros) override { key = k, host = h; }
-    void cancel(const core::AttemptKey&) override {}
-    bool withdraw(const core::AttemptKey&) override { return false; }
-    void probe(const std::string&) override {}
-    void tell(int, const std::string&) override {}
-    void finish(RequestId, const core::Final&) override {}
-    void cut(RequestId) override {}
+    void send_attempt(const core::AttemptKey& k, const std::string& h, Micros) override {
+        key = k, host = h;
+    }
+    void cancel_attempt(const core::AttemptKey&) override {}
+    bool withdraw_attempt(const core::AttemptKey&) override { return false; }
+    void start_health_check(const std::string&) override {}
+    void send_message(int, const std::string&) override {}
+    void finish_request(RequestId, const core::FinalResponse&) override {}
+    void abort_response(RequestId) override {}
 };
 
 void module_alone(benchmark::State& state) {
     Micros now = 1s;
-    Gateway gateway(settings(), 1, now);
+    DecisionEngine gateway(settings(), 1, now);
     std::vector<Action> actions;
     gateway.handle(now, hosts(static_cast<int>(state.range(0))), actions);
     RequestId id = 1;
@@ -53,8 +56,9 @@
         gateway.handle(now, RequestArrived{id, "birds", 0, 0, 1, 2s, 1, 0}, actions);
         std::string host;
         for (const Action& a : actions)
-            if (const auto* send = std::get_if<SendAttempt>(&a)) host = send->host;
-        gateway.handle(now + 20us, AttemptEnded{id, 0, host, Outcome::good, 20us, true, 0, {}}, actions);
+            if (const auto* send = std::get_if<SendAttempt>(&a)) host = send->endpoint;
+        gateway.handle(now + 20us, AttemptEnded{id, 0, host, Outcome::success, 20us, true, 0, {}},
+                       actions);
         ++id;
     }
 }
@@ -64,14 +68,14 @@
     Micros now = 1s;
     Null out;
     core::Core core(settings(), 0, 1, now, out);
-    core.hosts_changed(now, hosts(static_cast<int>(state.range(0))));
+    core.on_endpoints_changed(now, hosts(static_cast<int>(state.range(0))));
     for (auto _ : state) {
         now += 50us;
         out.timers.clear();
         const RequestId id = core.next_id();
-        core.take(now, id, {"birds", 0, 0, 1, 2s});
-        core.answer_begins(now + 20us, out.key, out.host, 20us, {});
-        core.answer_ended(now + 20us, id, true);
+        core.start_request(now, id, {"birds", 0, 0, 1, 2s});
+        core.on_response_started(now + 20us, out.key, out.host, 20us, {});
+        core.on_response_ended(now + 20us, id, true);
     }
 }
 BENCHMARK(core_with_module)->Arg(4)->Arg(32)->Arg(256);
@@ -88,35 +92,41 @@
         "GET /sites/merja/tally HTTP/1.1\r\nHost: birds\r\nX-Key: k1\r\nAccept: "
         "application/json\r\nUser-Agent: bench\r\n\r\n";
     const std::string answer =
-        "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 200\r\n\r\n" + std::string(200, 'x');
+        "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 200\r\n\r\n" +
+        std::string(200, 'x');
     Sink in, out;
-    http::Parser requests(http::Parser::Kind::request, in), answers(http::Parser::Kind::response, out);
-    fronts::http::Framing framing;
+    http::Parser requests(http::Parser::Kind::request, in),
+        answers(http::Parser::Kind::response, out);
+    frontend::http::Framing framing;
     event::SystemRandom random;
     for (auto _ : state) {
         requests.feed(request);
         requests.next();
-        const auto identity = fronts::http::identity_of(in.head, random);
-        benchmark::DoNotOptimize(fronts::http::head_for_host(in.head, "/sites/merja/tally", identity,
-                                                             "127.0.0.1", "silverreach-0", 0));
+        const auto identity = frontend::http::identity_of(in.head, random);
+        benchmark::DoNotOptimize(frontend::http::head_for_host(
+            in.head, "/sites/merja/tally", identity, "127.0.0.1", "silverreach-0", 0));
         answers.feed(answer);
         answers.next();
-        benchmark::DoNotOptimize(
-            fronts::http::head_for_client(out.head, {}, identity.request_id, "silverreach-0", framing));
+        benchmark::DoNotOptimize(frontend::http::head_for_client(out.head, {}, identity.request_id,
+                                                                 "silverreach-0", framing));
     }
 }
 BENCHMARK(codec);
 
 std::string description(int paths) {
     std::string text =
-        "openapi: 3.1.0\nx-silverreach-class: read\ncomponents:\n  parameters:\n    id: {name: id, in: path, "
+        "openapi: 3.1.0\nx-silverreach-class: read\ncomponents:\n  parameters:\n    id: {name: id, "
+        "in: path, "
         "required: true, schema: {type: string}}\npaths:\n";
     for (int i = 0; i < paths; ++i)
         text += fmt::format(
-            "  /group{}/thing{}/{{id}}/part:\n    parameters: [{{$ref: '#/components/parameters/id'}}]\n"
-            "    get:\n      operationId: get{}\n      x-silverreach-units: 2\n      responses: {{'200': "
+            "  /group{}/thing{}/{{id}}/part:\n    parameters: [{{$ref: "
+            "'#/components/parameters/id'}}]\n"
+            "    get:\n      operationId: get{}\n      x-silverreach-units: 2\n      responses: "
+            "{{'200': "
             "{{description: good}}}}\n"
-            "    post:\n      operationId: post{}\n      x-silverreach-units: 3\n      responses: {{'201': "
+            "    post:\n      operationId: post{}\n      x-silverreach-units: 3\n      responses: "
+            "{{'201': "
             "{{description: good}}}}\n",
             i % 17, i, i, i);
     return text;
@@ -146,12 +156,13 @@
 }
 BENCHMARK(look_up)->Arg(64)->Arg(1000)->Arg(10000);
 
-// Keys: as many accounts as a tenth of the keys. The look-up's figure has the hash in it; `hash_alone` stands
-// beside.
+// Keys: as many accounts as a tenth of the keys. The look-up's figure has the hash in it;
+// `hash_alone` stands beside.
 std::string key_number(std::uint64_t n) {
     accounts::Bytes32 random{};
     for (std::size_t i = 0; i < 8; ++i)
-        random[i] = random[i + 8] = static_cast<std::uint8_t>((n * 0x9E3779B97F4A7C15ull) >> (8 * i));
+        random[i] = random[i + 8] =
+            static_cast<std::uint8_t>((n * 0x9E3779B97F4A7C15ull) >> (8 * i));
     return accounts::make_key(random);
 }
 std::string log_of(std::uint64_t keys, const accounts::Pepper& pepper) {
@@ -164,8 +175,9 @@
     for (std::uint64_t i = 0; i < keys; ++i) {
         if (i % 10 == 0) add(accounts::PutAccount{fmt::format("account{}", i / 10), "basic"});
         const std::string text = key_number(i);
-        add(accounts::IssueKey{std::string(accounts::look_at(text).id), fmt::format("account{}", i / 10),
-                               accounts::hash_of(pepper, text), accounts::Wall(1), accounts::never});
+        add(accounts::IssueKey{std::string(accounts::look_at(text).id),
+                               fmt::format("account{}", i / 10), accounts::hash_of(pepper, text),
+                               accounts::Wall(1), accounts::never});
     }
     return log;
 }
@@ -177,8 +189,10 @@
 }
 void load_registry(benchmark::State& state) {
     const std::string log = log_of(static_cast<std::uint64_t>(state.range(0)), {});
-    for (auto _ : state) benchmark::DoNotOptimize(registry_of(log));
-    state.counters["log_bytes_a_key"] = static_cast<double>(log.size()) / static_cast<double>(state.range(0));
+    for (auto _ : state)
+        benchmark::DoNotOptimize(registry_of(log));
+    state.counters["log_bytes_a_key"] =
+        static_cast<double>(log.size()) / static_cast<double>(state.range(0));
 }
 BENCHMARK(load_registry)->Arg(1000)->Arg(1'000'000)->Unit(benchmark::kMillisecond)->Iterations(1);
 
@@ -197,12 +211,14 @@
 
 void hash_alone(benchmark::State& state) {
     const std::string text = key_number(1);
-    for (auto _ : state) benchmark::DoNotOptimize(accounts::hash_of({}, text));
+    for (auto _ : state)
+        benchmark::DoNotOptimize(accounts::hash_of({}, text));
 }
 BENCHMARK(hash_alone);
 void shape_alone(benchmark::State& state) {
     const std::string text = key_number(1);
-    for (auto _ : state) benchmark::DoNotOptimize(accounts::look_at(text));
+    for (auto _ : state)
+        benchmark::DoNotOptimize(accounts::look_at(text));
 }
 BENCHMARK(shape_alone);
 }  // namespace
--- a/standins/client.cpp
+++ b/fakes/client.cpp
@@ -1,12 +1,13 @@
-#include "standins/client.h"
+#include "fakes/client.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 namespace {
-constexpr Micros patience_after = std::chrono::milliseconds(200);  // a late answer is still recorded, as late
+constexpr Micros patience_after =
+    std::chrono::milliseconds(200);  // a late answer is still recorded, as late
 }
 
 struct Clients::Connection : event::StreamOwner, http::Parser::Events {
@@ -104,9 +105,13 @@
       gateways_(std::move(gateways)),
       begin_(loop.now()),
       gone_(loop) {}
-Clients::~Clients() { alive_.reset(); }
+Clients::~Clients() {
+    alive_.reset();
+}
 
-std::string Clients::make_id() { return fmt::format("t{}-{:08x}", next_++, random_() & 0xFFFFFFFF); }
+std::string Clients::make_id() {
+    return fmt::format("t{}-{:08x}", next_++, random_() & 0xFFFFFFFF);
+}
 
 void Clients::run(const Flow& flow, Micros until) {
     flows_.emplace_back(flow, until);
@@ -177,19 +182,23 @@
         return ended(t, 0, Micros(0), false);
     }
     std::string bytes = fmt::format(
-        "{} {} HTTP/1.1\r\nHost: birds\r\n{}: {}\r\nX-Request-Id: {}\r\nX-Op: {}\r\nX-Effect: {}\r\nX-Units: "
+        "{} {} HTTP/1.1\r\nHost: birds\r\n{}: {}\r\nX-Request-Id: {}\r\nX-Op: {}\r\nX-Effect: "
+        "{}\r\nX-Units: "
         "{:g}\r\n"
         "X-Deadline-Ms: {}\r\n",
-        f.method, f.target, f.key_header, f.key, t.id, t.op, f.effect, f.units, f.deadline.count() / 1000);
+        f.method, f.target, f.key_header, f.key, t.id, t.op, f.effect, f.units,
+        f.deadline.count() / 1000);
     if (f.effect == "keyed") bytes += "Idempotency-Key: " + t.op + "\r\n";
-    if (f.method != "GET" && f.method != "HEAD") bytes += fmt::format("Content-Length: {}\r\n", f.body);
+    if (f.method != "GET" && f.method != "HEAD")
+        bytes += fmt::format("Content-Length: {}\r\n", f.body);
     bytes += "\r\n" + (f.method == "GET" || f.method == "HEAD"
                            ? std::string()
                            : std::string(static_cast<std::size_t>(f.body), 'x'));
     c->begin(std::move(t), bytes);
 }
 
-// A client tries again where an answer says that it is harmless, and safe requests whatever happened.
+// A client tries again where an answer says that it is harmless, and safe requests whatever
+// happened.
 void Clients::ended(const Try& t, int status, Micros retry_after, bool harmless) {
     --waiting_;
     if (status >= 200 && status < 400) return;
@@ -216,4 +225,4 @@
     }
 }
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/client.h
+++ b/fakes/client.h
@@ -1,5 +1,5 @@
-// Clients of the gateways on loopback: they send at a stated rate, give up at their deadline, and try again
-// as the answers allow.
+// Clients of the gateways on loopback: they send at a stated rate, give up at their deadline, and
+// try again as the answers allow.
 #pragma once
 
 #include <functional>
@@ -11,13 +11,14 @@
 
 #include "event/graveyard.h"
 #include "event/stream.h"
+#include "fakes/record.h"
 #include "http/parser.h"
-#include "standins/record.h"
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 
 struct Flow {  // of one account's requests to one route
-    std::string account, key, method = "GET", target = "/", effect = "safe", key_header = "X-Api-Key";
+    std::string account, key, method = "GET", target = "/", effect = "safe",
+                              key_header = "X-Api-Key";
     double rate = 1;  // requests a second
     double units = 1;
     Micros deadline{0};
@@ -29,8 +30,8 @@
 
 class Clients {
   public:
-    // `gateways` gives the ports that can be reached now; a port below 1 is one that clients still try in
-    // vain.
+    // `gateways` gives the ports that can be reached now; a port below 1 is one that clients still
+    // try in vain.
     Clients(event::Loop& loop, std::uint64_t seed, Recorder& records,
             std::function<std::vector<int>()> gateways);
     ~Clients();
@@ -67,4 +68,4 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/host.cpp
+++ b/fakes/host.cpp
@@ -1,11 +1,11 @@
-#include "standins/host.h"
+#include "fakes/host.h"
 
 #include <fmt/format.h>
 #include <sys/time.h>
 
 #include <cmath>
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 namespace {
 std::string field_or(const http::Head& head, std::string_view name) {
     const std::string* value = http::find(head.fields, name);
@@ -33,7 +33,9 @@
       plan_of_(std::move(plan_of)) {
     start(false);
 }
-Host::~Host() { alive_.reset(); }
+Host::~Host() {
+    alive_.reset();
+}
 
 void Host::start(bool cold) {
     if (server_) return;
@@ -71,8 +73,12 @@
     stalled_ = on;
     if (!on) advance();
 }
-void Host::refuse_plan(const std::string& plan) { refused_plan_ = plan; }
-void Host::cut_answers(bool on) { cut_ = on; }
+void Host::refuse_plan(const std::string& plan) {
+    refused_plan_ = plan;
+}
+void Host::cut_answers(bool on) {
+    cut_ = on;
+}
 
 std::string Host::report() {
     return fmt::format(
@@ -82,11 +88,11 @@
         tally_->waiting() + tally_->running());
 }
 
-void Host::answer(Server::Token token, int status, const std::string& fields, const std::string& body,
-                  bool to_head) {
+void Host::answer(Server::Token token, int status, const std::string& fields,
+                  const std::string& body, bool to_head) {
     std::string out =
-        fmt::format("HTTP/1.1 {} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n{}{}\r\n", status,
-                    http::reason_phrase(status), body.size(), report(), fields);
+        fmt::format("HTTP/1.1 {} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n{}{}\r\n",
+                    status, http::reason_phrase(status), body.size(), report(), fields);
     if (!to_head) out += cut_ ? body.substr(0, body.size() / 2) : body;
     server_->answer(token, out, cut_);
 }
@@ -104,7 +110,8 @@
     const double units = units_text.empty() ? 1 : std::atof(units_text.c_str());
     std::exponential_distribution<double> spread(1);
     const double scale = 0.5 + 0.5 * std::min(spread(random_), 4.0);
-    const Micros work(static_cast<std::int64_t>(static_cast<double>(s_.mean_work.count()) * units * scale));
+    const Micros work(
+        static_cast<std::int64_t>(static_cast<double>(s_.mean_work.count()) * units * scale));
     const std::string key = field_or(head, s_.key_header);
     nlohmann::json fields = {{"host", address_},
                              {"id", job.id},
@@ -158,4 +165,4 @@
                     });
 }
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/host.h
+++ b/fakes/host.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <unordered_map>
 
-#include "standins/record.h"
-#include "standins/server.h"
-#include "standins/tally.h"
+#include "fakes/record.h"
+#include "fakes/server.h"
+#include "fakes/tally.h"
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 
 // Which keyed effects the hosts of one group remember, with the time each ran.
 struct Group {
@@ -33,8 +33,8 @@
 
 class Host {
   public:
-    // `plan_of` tells the plan of an account's key, for refusals of one plan. All references must outlive the
-    // host.
+    // `plan_of` tells the plan of an account's key, for refusals of one plan. All references must
+    // outlive the host.
     Host(event::Loop& loop, const HostSettings& settings, std::uint64_t seed, Recorder& records,
          std::shared_ptr<Group> group, std::function<std::string(const std::string&)> plan_of);
     ~Host();
@@ -46,7 +46,7 @@
 
     void kill();            // as the process would die: connections break
     void start(bool cold);  // on the same address
-    void stall(bool on);    // reads on, so that records hold the time of sending, but answers nothing
+    void stall(bool on);  // reads on, so that records hold the time of sending, but answers nothing
     void refuse_plan(const std::string& plan);  // turns that plan away as full; empty: nobody
     void cut_answers(bool on);                  // ends its answers in the middle
 
@@ -81,4 +81,4 @@
 
 std::int64_t unix_ms_now();
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/record.cpp
+++ b/fakes/record.cpp
@@ -1,8 +1,8 @@
-#include "standins/record.h"
+#include "fakes/record.h"
 
 #include <stdexcept>
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 
 Recorder::Recorder(const std::string& file) : file_(file) {
     if (!file_) throw std::runtime_error(file + ": cannot be written");
@@ -14,4 +14,4 @@
     all_.push_back(std::move(fields));
 }
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/record.h
+++ b/fakes/record.h
@@ -1,4 +1,5 @@
-// What passed on the stand-ins' sockets, as JSON lines: {"t": microseconds, "who": ..., "what": ..., ...}.
+// What passed on the stand-ins' sockets, as JSON lines: {"t": microseconds, "who": ..., "what":
+// ..., ...}.
 #pragma once
 
 #include <chrono>
@@ -7,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 
 using Micros = std::chrono::microseconds;
 
@@ -23,4 +24,4 @@
     std::vector<nlohmann::json> all_;
 };
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/relay.cpp
+++ b/fakes/relay.cpp
@@ -1,4 +1,4 @@
-#include "standins/relay.h"
+#include "fakes/relay.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -6,7 +6,7 @@
 
 #include <stdexcept>
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 namespace {
 sockaddr_in address_of(const std::string& ip, int port) {
     sockaddr_in a{};
@@ -42,25 +42,32 @@
             legs_[static_cast<std::size_t>(from)].push_back(std::move(leg));
         }
 }
-Relay::~Relay() { alive_.reset(); }
+Relay::~Relay() {
+    alive_.reset();
+}
 
 std::string Relay::address(int from, int to) const {
     return "127.0.0.1:" +
-           std::to_string(legs_[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)]->port);
+           std::to_string(
+               legs_[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)]->port);
 }
 void Relay::set(double loss, std::chrono::microseconds least, std::chrono::microseconds most) {
     loss_ = loss, least_ = least, most_ = std::max(least, most);
 }
-void Relay::cut(int gateway, bool on) { on ? void(cut_.insert(gateway)) : void(cut_.erase(gateway)); }
+void Relay::cut(int gateway, bool on) {
+    on ? void(cut_.insert(gateway)) : void(cut_.erase(gateway));
+}
 
-void Relay::part(bool on) { parted_ = on; }
+void Relay::part(bool on) {
+    parted_ = on;
+}
 
 void Relay::receive(int from, int to) {
     char buffer[2048];
     while (true) {
         const ssize_t n =
-            ::recv(legs_[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)]->fd.get(), buffer,
-                   sizeof buffer, 0);
+            ::recv(legs_[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)]->fd.get(),
+                   buffer, sizeof buffer, 0);
         if (n < 0) return;
         const double draw = static_cast<double>(random_() >> 11) * 0x1p-53;
         bytes_ += static_cast<std::uint64_t>(n);
@@ -69,19 +76,21 @@
             continue;
         }
         const auto span = static_cast<std::uint64_t>((most_ - least_).count()) + 1;
-        const std::chrono::microseconds delay = least_ + std::chrono::microseconds(random_() % span);
+        const std::chrono::microseconds delay =
+            least_ + std::chrono::microseconds(random_() % span);
         ++carried_;
-        loop_.after(delay, [this, from, to, bytes = std::string(buffer, static_cast<std::size_t>(n)),
+        loop_.after(delay, [this, from, to,
+                            bytes = std::string(buffer, static_cast<std::size_t>(n)),
                             alive = std::weak_ptr<bool>(alive_)] {
             if (alive.expired()) return;
             // From the socket at which `to` knows `from`.
             const auto& [ip, port] = own_[static_cast<std::size_t>(to)];
             const sockaddr_in at = address_of(ip, port);
             ::sendto(legs_[static_cast<std::size_t>(to)][static_cast<std::size_t>(from)]->fd.get(),
-                     bytes.data(), bytes.size(), MSG_NOSIGNAL, reinterpret_cast<const sockaddr*>(&at),
-                     sizeof at);
+                     bytes.data(), bytes.size(), MSG_NOSIGNAL,
+                     reinterpret_cast<const sockaddr*>(&at), sizeof at);
         });
     }
 }
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/relay.h
+++ b/fakes/relay.h
@@ -1,5 +1,5 @@
-// Carries datagrams between gateways, and loses, delays and cuts as told. Each ordered pair has a socket of
-// its own, so that every gateway sees each peer at one stable address.
+// Carries datagrams between gateways, and loses, delays and cuts as told. Each ordered pair has a
+// socket of its own, so that every gateway sees each peer at one stable address.
 #pragma once
 
 #include <memory>
@@ -10,7 +10,7 @@
 
 #include "event/loop.h"
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 
 class Relay {
   public:
@@ -19,7 +19,8 @@
     ~Relay();
     // Where gateway `from` finds its peer `to`.
     std::string address(int from, int to) const;
-    void set(double loss, std::chrono::microseconds least_delay, std::chrono::microseconds most_delay);
+    void set(double loss, std::chrono::microseconds least_delay,
+             std::chrono::microseconds most_delay);
     void cut(int gateway, bool on);                 // nothing passes from or to it
     void part(bool on);                             // nothing passes between even and odd gateways
     std::uint64_t bytes() const { return bytes_; }  // of all that was handed in
@@ -41,4 +42,4 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/roster.cpp
+++ b/fakes/roster.cpp
@@ -1,16 +1,18 @@
-#include "standins/roster.h"
+#include "fakes/roster.h"
 
 #include <fmt/format.h>
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 
 RosterServer::RosterServer(event::Loop& loop, std::string cluster, Micros lag, Recorder& records)
     : loop_(loop),
       cluster_(std::move(cluster)),
       lag_(lag),
       records_(records),
-      server_(loop, "127.0.0.1", 0,
-              [this](Server::Token t, const http::Head& h, const std::string& b) { handle(t, h, b); }) {}
+      server_(
+          loop, "127.0.0.1", 0,
+          [this](Server::Token t, const http::Head& h, const std::string& b) { handle(t, h, b); }) {
+}
 
 void RosterServer::change(std::function<void()> make) {
     if (lag_ <= Micros(0)) return make(), void(++version_);
@@ -29,11 +31,13 @@
         const std::size_t colon = host.rfind(':');
         std::string ip = host.substr(0, colon);
         if (ip.front() == '[') ip = ip.substr(1, ip.size() - 2);
-        nlohmann::json own = {{"kind", e.kind}, {"cell", e.cell}, {"started_unix_ms", e.started_unix_ms}};
+        nlohmann::json own = {
+            {"kind", e.kind}, {"cell", e.cell}, {"started_unix_ms", e.started_unix_ms}};
         zones[e.zone].push_back(
             {{"endpoint",
               {{"address",
-                {{"socketAddress", {{"address", ip}, {"portValue", std::stoi(host.substr(colon + 1))}}}}}}},
+                {{"socketAddress",
+                  {{"address", ip}, {"portValue", std::stoi(host.substr(colon + 1))}}}}}}},
              {"healthStatus", e.state},
              {"metadata", {{"filterMetadata", {{"silverreach", own}}}}}});
     }
@@ -41,7 +45,8 @@
     for (auto& [zone, list] : zones)
         endpoints.push_back({{"locality", {{"zone", zone}}}, {"lbEndpoints", list}});
     const std::string type = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
-    const nlohmann::json resource = {{"@type", type}, {"clusterName", cluster_}, {"endpoints", endpoints}};
+    const nlohmann::json resource = {
+        {"@type", type}, {"clusterName", cluster_}, {"endpoints", endpoints}};
     return nlohmann::json{
         {"versionInfo", std::to_string(version_)}, {"typeUrl", type}, {"resources", {resource}}}
         .dump();
@@ -60,15 +65,18 @@
     const std::string text = json();
     const std::string node = request.contains("node") ? request["node"].value("id", "") : "";
     nlohmann::json states = nlohmann::json::object();
-    for (const auto& [host, entry] : hosts_) states[host] = entry.state;
-    records_.add(loop_.now(), "roster", "told",
-                 {{"gateway", std::atoi(node.substr(node.rfind('-') + 1).c_str())}, {"hosts", states}});
+    for (const auto& [host, entry] : hosts_)
+        states[host] = entry.state;
+    records_.add(
+        loop_.now(), "roster", "told",
+        {{"gateway", std::atoi(node.substr(node.rfind('-') + 1).c_str())}, {"hosts", states}});
     server_.answer(
         token,
-        fmt::format("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
-                    text.size()) +
+        fmt::format(
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
+            text.size()) +
             text,
         false);
 }
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/roster.h
+++ b/fakes/roster.h
@@ -1,13 +1,14 @@
-// A discovery service on loopback: xDS v3 endpoint discovery as REST-JSON, told late as a real one is.
+// A discovery service on loopback: xDS v3 endpoint discovery as REST-JSON, told late as a real one
+// is.
 #pragma once
 
 #include <map>
 #include <string>
 
-#include "standins/record.h"
-#include "standins/server.h"
+#include "fakes/record.h"
+#include "fakes/server.h"
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 
 struct RosterEntry {
     std::string state = "HEALTHY";  // or DRAINING; hosts that are gone are left out
@@ -41,4 +42,4 @@
     Server server_;
 };
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/server.cpp
+++ b/fakes/server.cpp
@@ -1,6 +1,6 @@
-#include "standins/server.h"
+#include "fakes/server.h"
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 
 struct Server::Connection : event::StreamOwner, http::Parser::Events {
     Connection(Server& s, Token t, event::Fd fd)
@@ -52,7 +52,9 @@
             connections_.emplace(token, std::make_unique<Connection>(*this, token, std::move(fd)));
         });
 }
-Server::~Server() { alive_.reset(); }
+Server::~Server() {
+    alive_.reset();
+}
 
 bool Server::answer(Token token, const std::string& bytes, bool close) {
     const auto it = connections_.find(token);
@@ -67,13 +69,16 @@
     c.parser.next();
     loop_.after(std::chrono::microseconds(0), [this, token, alive = std::weak_ptr<bool>(alive_)] {
         if (alive.expired()) return;
-        if (const auto again = connections_.find(token); again != connections_.end()) again->second->next();
+        if (const auto again = connections_.find(token); again != connections_.end())
+            again->second->next();
     });
     return true;
 }
 void Server::reset_all() {
-    for (auto& [token, c] : connections_) c->stream.reset();
-    while (!connections_.empty()) bury(connections_.begin()->first);
+    for (auto& [token, c] : connections_)
+        c->stream.reset();
+    while (!connections_.empty())
+        bury(connections_.begin()->first);
 }
 void Server::bury(Token token) {
     const auto it = connections_.find(token);
@@ -82,4 +87,4 @@
     connections_.erase(it);
 }
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/server.h
+++ b/fakes/server.h
@@ -1,4 +1,5 @@
-// The frame that the HTTP stand-ins share: accepts, reads whole requests one after another, writes answers.
+// The frame that the HTTP stand-ins share: accepts, reads whole requests one after another, writes
+// answers.
 #pragma once
 
 #include <functional>
@@ -11,7 +12,7 @@
 #include "event/stream.h"
 #include "http/parser.h"
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 
 class Server {
   public:
@@ -21,8 +22,9 @@
     Server(event::Loop& loop, const std::string& ip, int port, Handler handler);
     ~Server();
     int port() const { return listener_ ? listener_->port() : 0; }
-    bool answer(Token token, const std::string& bytes, bool close);  // false: the connection is gone
-    void reset_all();                                                // breaks every connection
+    bool answer(Token token, const std::string& bytes,
+                bool close);  // false: the connection is gone
+    void reset_all();         // breaks every connection
     std::size_t connections() const { return connections_.size(); }
 
   private:
@@ -37,4 +39,4 @@
     std::unique_ptr<event::Listener> listener_;
 };
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/tally.cpp
+++ b/fakes/tally.cpp
@@ -1,10 +1,12 @@
-#include "standins/tally.h"
+#include "fakes/tally.h"
 
 #include <algorithm>
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 namespace {
-double seconds(Micros t) { return static_cast<double>(t.count()) / 1e6; }
+double seconds(Micros t) {
+    return static_cast<double>(t.count()) / 1e6;
+}
 constexpr double chance_slack = 2;  // largest jobs above the budget that pass, for chance
 }  // namespace
 
@@ -13,7 +15,9 @@
     const double age = seconds(now - started_) / seconds(s_.cold);
     return age >= 1 ? 1 : s_.start_capacity + (1 - s_.start_capacity) * std::max(0.0, age);
 }
-double Tally::capacity(Micros now) const { return s_.cores * s_.speed * share(now); }
+double Tally::capacity(Micros now) const {
+    return s_.cores * s_.speed * share(now);
+}
 
 bool Tally::arrive(Micros now, std::uint64_t job, Micros work) {
     if (fallen_) return false;
@@ -31,7 +35,8 @@
             return false;
         }
     }
-    if (running_.size() >= static_cast<std::size_t>(s_.cores) && waiting_.size() >= s_.room) return false;
+    if (running_.size() >= static_cast<std::size_t>(s_.cores) && waiting_.size() >= s_.room)
+        return false;
     waiting_.push_back({job, work});
     start(now);
     return true;
@@ -56,8 +61,8 @@
 std::vector<Tally::Done> Tally::advance(Micros now) {
     std::vector<Done> done;
     for (auto at = next(); at && *at <= now; at = next()) {
-        const auto it =
-            std::find_if(running_.begin(), running_.end(), [&](const Running& r) { return r.until == *at; });
+        const auto it = std::find_if(running_.begin(), running_.end(),
+                                     [&](const Running& r) { return r.until == *at; });
         done.push_back({it->id, it->until});
         running_.erase(it);
         start(*at);
@@ -65,4 +70,4 @@
     return done;
 }
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/standins/tally.h
+++ b/fakes/tally.h
@@ -1,5 +1,5 @@
-// A model of a tally host: cores that work, a waiting room, a cold start, and falling over. No I/O; the same
-// model serves the host stand-in and its tests.
+// A model of a tally host: cores that work, a waiting room, a cold start, and falling over. No I/O;
+// the same model serves the host stand-in and its tests.
 #pragma once
 
 #include <chrono>
@@ -8,7 +8,7 @@
 #include <optional>
 #include <vector>
 
-namespace silverreach::standins {
+namespace silverreach::fakes {
 
 using Micros = std::chrono::microseconds;
 
@@ -61,4 +61,4 @@
     bool fallen_ = false;
 };
 
-}  // namespace silverreach::standins
+}  // namespace silverreach::fakes
--- a/drill/commands.cpp
+++ b/scenario_runner/commands.cpp
@@ -10,16 +10,20 @@
 #include <sstream>
 
 #include "config/config.h"
-#include "drill/drill.h"
-#include "drill/fleet/socket_fleet.h"
 #include "event/signal.h"
-#include "standins/relay.h"
-#include "standins/roster.h"
+#include "fakes/relay.h"
+#include "fakes/roster.h"
+#include "scenario_runner/drill.h"
+#include "scenario_runner/fleet/socket_fleet.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 namespace {
 using namespace std::chrono_literals;
-enum Exit { done = 0, bad_answer = 1, system_refused = 3 };
+enum Exit {
+    done = 0,
+    bad_answer = 1,
+    system_refused = 3
+};
 
 std::string folder_of(const std::string& path) {
     const std::size_t slash = path.rfind('/');
@@ -40,12 +44,13 @@
 }
 
 // A fleet's days, one row each, and what of their own bounds is broken.
-int run_fleet(const std::string& text, const std::string& path, std::string work, bool keep, bool quiet,
-              bool in_virtual_time) {
+int run_fleet(const std::string& text, const std::string& path, std::string work, bool keep,
+              bool quiet, bool in_virtual_time) {
     std::vector<FleetDay> days;
     std::vector<openapi::Problem> problems;
     if (!parse_fleet(text, path, days, problems)) {
-        for (const auto& p : problems) std::cerr << openapi::to_string(p) << "\n";
+        for (const auto& p : problems)
+            std::cerr << openapi::to_string(p) << "\n";
         return Exit::bad_answer;
     }
     const bool own = work.empty();
@@ -55,30 +60,37 @@
     std::cout << fleet_heading();
     for (const FleetDay& day : days) {
         if (!quiet) std::cerr << day.name << " ..." << std::endl;
-        const FleetResult result = in_virtual_time
-                                       ? play_virtual(day, config::Config().peers().messages_per_s())
-                                       : play_sockets(day, "/proc/self/exe", work);
+        const FleetResult result =
+            in_virtual_time ? play_virtual(day, config::Config().peers().messages_per_s())
+                            : play_sockets(day, "/proc/self/exe", work);
         const FleetRow row = measure(day, result.tries, result.traffic);
         std::cout << text_of(day, row);
         for (const auto& what : held_against(day, row))
             kept = false, std::cout << "    BROKEN " << what << "\n";
-        for (const auto& what : result.troubles) kept = false, std::cout << "    TROUBLE " << what << "\n";
+        for (const auto& what : result.troubles)
+            kept = false, std::cout << "    TROUBLE " << what << "\n";
         std::cout << std::flush;
     }
     std::cout << (kept ? "VERDICT all bounds kept\n" : "VERDICT not kept\n");
-    if (own && kept && !keep) std::filesystem::remove_all(work);
-    else if (!in_virtual_time) std::cout << "configurations and logs: " << work << "\n";
+    if (own && kept && !keep)
+        std::filesystem::remove_all(work);
+    else if (!in_virtual_time)
+        std::cout << "configurations and logs: " << work << "\n";
     return kept ? Exit::done : Exit::bad_answer;
 }
 
-int run_drill(const std::string& path, std::string work, bool keep, bool quiet, bool in_virtual_time) {
+int run_drill(const std::string& path, std::string work, bool keep, bool quiet,
+              bool in_virtual_time) {
     Scenario scenario;
     std::vector<openapi::Problem> problems;
     const std::string text = read_text(path);
-    if (is_fleet(text, path)) return run_fleet(text, path, std::move(work), keep, quiet, in_virtual_time);
-    if (in_virtual_time) throw std::runtime_error(path + ": only a fleet scenario runs in virtual time");
+    if (is_fleet(text, path))
+        return run_fleet(text, path, std::move(work), keep, quiet, in_virtual_time);
+    if (in_virtual_time)
+        throw std::runtime_error(path + ": only a fleet scenario runs in virtual time");
     if (!parse_scenario(text, path, scenario, problems)) {
-        for (const auto& p : problems) std::cerr << openapi::to_string(p) << "\n";
+        for (const auto& p : problems)
+            std::cerr << openapi::to_string(p) << "\n";
         return Exit::bad_answer;
     }
     const bool own = work.empty();
@@ -94,30 +106,34 @@
     std::cout << "Who was served, refused and why (tries of clients):\n"
               << summary(day.records) << "\n"
               << text_of(day.verdict);
-    for (const std::string& trouble : day.troubles) std::cout << "TROUBLE " << trouble << "\n";
+    for (const std::string& trouble : day.troubles)
+        std::cout << "TROUBLE " << trouble << "\n";
     const bool good = day.verdict.kept() && day.troubles.empty();
     std::cout << (good ? "VERDICT all rules kept\n" : "VERDICT not kept\n");
-    if (own && good && !keep) std::filesystem::remove_all(work);
-    else std::cout << "records, configurations and logs: " << work << "\n";
+    if (own && good && !keep)
+        std::filesystem::remove_all(work);
+    else
+        std::cout << "records, configurations and logs: " << work << "\n";
     return good ? Exit::done : Exit::bad_answer;
 }
 
-int run_host(const standins::HostSettings& settings, bool cold) {
+int run_host(const fakes::HostSettings& settings, bool cold) {
     event::Loop loop;
-    standins::Recorder records("/dev/stdout");
-    auto group = std::make_shared<standins::Group>();
-    standins::Host host(loop, settings, 1, records, group, [](const std::string&) { return ""; });
+    fakes::Recorder records("/dev/stdout");
+    auto group = std::make_shared<fakes::Group>();
+    fakes::Host host(loop, settings, 1, records, group, [](const std::string&) { return ""; });
     if (cold) host.kill(), host.start(true);
     std::cerr << "listening on " << host.address() << std::endl;
-    event::Signal term(loop, SIGTERM, [&] { loop.stop(); }), interrupt(loop, SIGINT, [&] { loop.stop(); });
+    event::Signal term(loop, SIGTERM, [&] { loop.stop(); }),
+        interrupt(loop, SIGINT, [&] { loop.stop(); });
     loop.run();
     return Exit::done;
 }
 
-int run_client(const standins::Flow& flow, int port, Micros span) {
+int run_client(const fakes::Flow& flow, int port, Micros span) {
     event::Loop loop;
-    standins::Recorder records("/dev/stdout");
-    standins::Clients clients(loop, 1, records, [port] { return std::vector<int>{port}; });
+    fakes::Recorder records("/dev/stdout");
+    fakes::Clients clients(loop, 1, records, [port] { return std::vector<int>{port}; });
     clients.run(flow, span);
     loop.after(span + flow.deadline + 500ms, [&] { loop.stop(); });
     event::Signal interrupt(loop, SIGINT, [&] { loop.stop(); });
@@ -128,15 +144,18 @@
 
 int run_roster(const std::vector<std::string>& hosts, const std::string& cluster) {
     event::Loop loop;
-    standins::Recorder records("/dev/stdout");
-    standins::RosterServer roster(loop, cluster, Micros(0), records);
-    for (const std::string& host : hosts) roster.set(host, {});
+    fakes::Recorder records("/dev/stdout");
+    fakes::RosterServer roster(loop, cluster, Micros(0), records);
+    for (const std::string& host : hosts)
+        roster.set(host, {});
     std::cerr << "listening on 127.0.0.1:" << roster.port() << std::endl;
-    event::Signal term(loop, SIGTERM, [&] { loop.stop(); }), interrupt(loop, SIGINT, [&] { loop.stop(); });
+    event::Signal term(loop, SIGTERM, [&] { loop.stop(); }),
+        interrupt(loop, SIGINT, [&] { loop.stop(); });
     loop.run();
     return Exit::done;
 }
-int run_relay(const std::vector<std::string>& gateways, double loss, double least_ms, double most_ms) {
+int run_relay(const std::vector<std::string>& gateways, double loss, double least_ms,
+              double most_ms) {
     std::vector<std::pair<std::string, int>> own;
     for (const std::string& text : gateways) {
         const auto at = config::parse_endpoint(text);
@@ -144,7 +163,7 @@
         own.emplace_back(at->ip, at->port);
     }
     event::Loop loop;
-    standins::Relay relay(loop, own, 1);
+    fakes::Relay relay(loop, own, 1);
     relay.set(loss, Micros(static_cast<std::int64_t>(least_ms * 1000)),
               Micros(static_cast<std::int64_t>(most_ms * 1000)));
     const int n = static_cast<int>(own.size());
@@ -154,7 +173,8 @@
                 "gateway {}: peer {{ rank: {} address: \"{}\" }}\n", from, to,
                 from == to ? gateways[static_cast<std::size_t>(to)] : relay.address(from, to));
     std::cout << std::flush;
-    event::Signal term(loop, SIGTERM, [&] { loop.stop(); }), interrupt(loop, SIGINT, [&] { loop.stop(); });
+    event::Signal term(loop, SIGTERM, [&] { loop.stop(); }),
+        interrupt(loop, SIGINT, [&] { loop.stop(); });
     loop.run();
     std::cerr << fmt::format("carried {}, lost {}\n", relay.carried(), relay.lost());
     return Exit::done;
@@ -165,8 +185,8 @@
     struct Options {
         std::string path, work, cluster = "hosts";
         bool keep = false, quiet = false, cold = false, in_virtual_time = false;
-        standins::HostSettings host;
-        standins::Flow flow;
+        fakes::HostSettings host;
+        fakes::Flow flow;
         double work_ms = 20, cold_ms = 0, deadline_ms = 1000, seconds = 10;
         double loss = 0, least_ms = 0, most_ms = 0;
         int port = 0;
@@ -174,8 +194,8 @@
     };
     auto o = std::make_shared<Options>();
 
-    auto* drill =
-        app.add_subcommand("drill", "Play a scenario on loopback and judge the rules; 1 where one is broken");
+    auto* drill = app.add_subcommand(
+        "drill", "Play a scenario on loopback and judge the rules; 1 where one is broken");
     drill->add_option("SCENARIO", o->path, "Scenario, YAML")->required();
     drill->add_option("--work", o->work, "Folder for configurations, logs and records; kept");
     drill->add_flag("--keep", o->keep, "Keep the folder made for the day");
@@ -185,7 +205,8 @@
     drill->callback(
         [o, &code] { code = run_drill(o->path, o->work, o->keep, o->quiet, o->in_virtual_time); });
 
-    auto* standin = app.add_subcommand("standin", "One stand-in alone: host, client, relay or roster");
+    auto* standin =
+        app.add_subcommand("standin", "One stand-in alone: host, client, relay or roster");
     standin->require_subcommand(1);
     auto* host = standin->add_subcommand("host", "A tally host; records on standard output");
     host->add_option("--port", o->host.port, "0: any");
@@ -216,7 +237,8 @@
         o->flow.deadline = Micros(static_cast<std::int64_t>(o->deadline_ms * 1000));
         code = run_client(o->flow, o->port, Micros(static_cast<std::int64_t>(o->seconds * 1e6)));
     });
-    auto* roster = standin->add_subcommand("roster", "A discovery service that lists the hosts given");
+    auto* roster =
+        standin->add_subcommand("roster", "A discovery service that lists the hosts given");
     roster->add_option("HOST", o->hosts, "ip:port")->required();
     roster->add_option("--cluster", o->cluster);
     roster->callback([o, &code] { code = run_roster(o->hosts, o->cluster); });
@@ -228,7 +250,8 @@
     relay->add_option("--loss", o->loss, "Share of messages lost")->check(CLI::Range(0.0, 1.0));
     relay->add_option("--least-delay-ms", o->least_ms)->check(CLI::NonNegativeNumber);
     relay->add_option("--most-delay-ms", o->most_ms)->check(CLI::NonNegativeNumber);
-    relay->callback([o, &code] { code = run_relay(o->gateways, o->loss, o->least_ms, o->most_ms); });
+    relay->callback(
+        [o, &code] { code = run_relay(o->gateways, o->loss, o->least_ms, o->most_ms); });
 }
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/drill.cpp
+++ b/scenario_runner/drill.cpp
@@ -1,4 +1,4 @@
-#include "drill/drill.h"
+#include "scenario_runner/drill.h"
 
 #include <fmt/format.h>
 #include <google/protobuf/text_format.h>
@@ -10,11 +10,11 @@
 #include <stdexcept>
 
 #include "config/config.h"
-#include "drill/gateway_process.h"
-#include "standins/relay.h"
-#include "standins/roster.h"
+#include "fakes/relay.h"
+#include "fakes/roster.h"
+#include "scenario_runner/gateway_process.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 namespace {
 using namespace std::chrono_literals;
 constexpr Micros look_period = 5ms, start_due = 20s, end_wait = 10s;
@@ -27,8 +27,8 @@
 }
 class Day {
   public:
-    Day(const Scenario& s, const std::string& program, const std::string& folder, const std::string& work,
-        const std::function<void(const std::string&)>& progress)
+    Day(const Scenario& s, const std::string& program, const std::string& folder,
+        const std::string& work, const std::function<void(const std::string&)>& progress)
         : s_(s),
           program_(program),
           folder_(folder),
@@ -38,15 +38,17 @@
           base_(read_config()),
           roster_(loop_, base_.hosts().cluster(), Micros(0), records_) {
         for (const auto& a : base_.account())
-            for (const std::string& key : a.key()) plan_of_[key] = a.plan();
+            for (const std::string& key : a.key())
+                plan_of_[key] = a.plan();
         make_hosts();
         make_gateways();
-        clients_ =
-            std::make_unique<standins::Clients>(loop_, s.seed * 31 + 7, records_, [this] { return ports_; });
+        clients_ = std::make_unique<fakes::Clients>(loop_, s.seed * 31 + 7, records_,
+                                                    [this] { return ports_; });
     }
 
     DayResult run() {
-        for (std::size_t i = 0; i < gateways_.size(); ++i) start_gateway(i);
+        for (std::size_t i = 0; i < gateways_.size(); ++i)
+            start_gateway(i);
         wait_until(loop_.now() + start_due, [this] { return all_listening(); });
         if (!all_listening()) {
             result_.troubles.push_back("a gateway did not start; see its log in " + work_);
@@ -56,8 +58,10 @@
         begin_ = loop_.now();
         progress_(fmt::format("{} gateways, {} hosts; {:.0f} s of clients begin", gateways_.size(),
                               hosts_.size(), static_cast<double>(s_.length.count()) / 1e6));
-        for (const standins::Flow& flow : s_.flows) clients_->run(flow, s_.length);
-        for (const Happening& h : s_.happenings) loop_.after(h.at, [this, &h] { happen(h); });
+        for (const fakes::Flow& flow : s_.flows)
+            clients_->run(flow, s_.length);
+        for (const Happening& h : s_.happenings)
+            loop_.after(h.at, [this, &h] { happen(h); });
         wait_until(begin_ + s_.length, [] { return false; });
         wait_until(loop_.now() + end_wait, [this] { return clients_->waiting() == 0; });
         return finish();
@@ -74,23 +78,23 @@
         return c;
     }
     void make_hosts() {
-        auto group = std::make_shared<standins::Group>();
+        auto group = std::make_shared<fakes::Group>();
         group->window = s_.repeat_window;
         for (const HostGroup& g : s_.hosts)
             for (int i = 0; i < g.count; ++i) {
-                hosts_.push_back(std::make_unique<standins::Host>(
+                hosts_.push_back(std::make_unique<fakes::Host>(
                     loop_, g.settings, s_.seed * 1000 + hosts_.size(), records_, group,
                     [this](const std::string& key) { return plan_of_[key]; }));
                 list(*hosts_.back(), "HEALTHY");
             }
     }
-    void list(const standins::Host& host, const char* state) {
-        roster_.set(host.address(), {state, host.settings().zone, host.settings().kind, host.settings().cell,
-                                     host.started_unix_ms()});
+    void list(const fakes::Host& host, const char* state) {
+        roster_.set(host.address(), {state, host.settings().zone, host.settings().kind,
+                                     host.settings().cell, host.started_unix_ms()});
     }
     void make_gateways() {
         const auto own = peer_addresses(s_.gateways);
-        relay_ = std::make_unique<standins::Relay>(loop_, own, s_.seed + 99);
+        relay_ = std::make_unique<fakes::Relay>(loop_, own, s_.seed + 99);
         relay_->set(s_.loss, s_.least_delay, s_.most_delay);
         write_text(work_ + "/api", read_text(folder_ + "/" + s_.description));
         for (int i = 0; i < s_.gateways; ++i) {
@@ -105,7 +109,8 @@
                 for (int k = 0; k < s_.gateways; ++k) {
                     auto* peer = fleet->add_peer();
                     peer->set_rank(k);
-                    peer->set_address(k == i ? fmt::format("{}:{}", own[static_cast<std::size_t>(i)].first,
+                    peer->set_address(k == i ? fmt::format("{}:{}",
+                                                           own[static_cast<std::size_t>(i)].first,
                                                            own[static_cast<std::size_t>(i)].second)
                                              : relay_->address(i, k));
                 }
@@ -114,8 +119,8 @@
             google::protobuf::TextFormat::PrintToString(c, &text);
             const std::string path = fmt::format("{}/gateway-{}.textproto", work_, i);
             write_text(path, text);
-            gateways_.push_back(
-                std::make_unique<GatewayProcess>(program_, path, fmt::format("{}/gateway-{}.log", work_, i)));
+            gateways_.push_back(std::make_unique<GatewayProcess>(
+                program_, path, fmt::format("{}/gateway-{}.log", work_, i)));
             ports_.push_back(0);
             wanted_.push_back(false);
         }
@@ -228,8 +233,8 @@
                 if (wanted_[i] && !gateways_[i]->running()) {
                     wanted_[i] = false;
                     ports_[i] = 0;
-                    result_.troubles.push_back(
-                        fmt::format("gateway {} ended by itself; see {}/gateway-{}.log", i, work_, i));
+                    result_.troubles.push_back(fmt::format(
+                        "gateway {} ended by itself; see {}/gateway-{}.log", i, work_, i));
                 }
             if (loop_.now() >= until || over() || !result_.troubles.empty()) return loop_.stop();
             loop_.after(look_period, look);
@@ -240,7 +245,8 @@
 
     DayResult finish() {
         progress_(fmt::format("messages carried {}, lost {}", relay_->carried(), relay_->lost()));
-        for (auto& g : gateways_) g->stop(SIGTERM);
+        for (auto& g : gateways_)
+            g->stop(SIGTERM);
         std::fill(wanted_.begin(), wanted_.end(), false);
         Terms terms;
         terms.slack = s_.slack, terms.drain_grace = s_.drain_grace;
@@ -262,16 +268,16 @@
     std::string program_, folder_, work_;
     const std::function<void(const std::string&)>& progress_;
     event::Loop loop_;
-    standins::Recorder records_;
+    fakes::Recorder records_;
     config::Config base_;
-    standins::RosterServer roster_;
+    fakes::RosterServer roster_;
     std::map<std::string, std::string> plan_of_;
-    std::vector<std::unique_ptr<standins::Host>> hosts_;
-    std::unique_ptr<standins::Relay> relay_;
+    std::vector<std::unique_ptr<fakes::Host>> hosts_;
+    std::unique_ptr<fakes::Relay> relay_;
     std::vector<std::unique_ptr<GatewayProcess>> gateways_;
     std::vector<int> ports_;
     std::vector<bool> wanted_;
-    std::unique_ptr<standins::Clients> clients_;
+    std::unique_ptr<fakes::Clients> clients_;
     Micros begin_{0};
     DayResult result_;
 };
@@ -283,4 +289,4 @@
     return Day(scenario, program, folder, work, progress).run();
 }
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/fleet/arrivals.cpp
+++ b/scenario_runner/fleet/arrivals.cpp
@@ -1,10 +1,10 @@
-#include "drill/fleet/arrivals.h"
+#include "scenario_runner/fleet/arrivals.h"
 
 #include <algorithm>
 
 #include "peer_message.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 
 Arrivals::Arrivals(const FleetDay& day)
     : day_(day), random_(day.seed * 7919 + 17), rate_(day.offered * day.accounts) {}
@@ -17,7 +17,8 @@
     if (day_.shape == Shape::halving) {
         double part = 0.5, sum = part;
         int i = 0;
-        while (u >= sum && i < n - 1) part /= 2, sum += part, ++i;
+        while (u >= sum && i < n - 1)
+            part /= 2, sum += part, ++i;
         return i;
     }
     const int third = std::max(1, n / 3), turn = static_cast<int>(at_ / day_.move_every);
@@ -34,9 +35,11 @@
     return {at_, account, instance()};
 }
 
-std::string account_name(int account) { return "account-" + std::to_string(account); }
+std::string account_name(int account) {
+    return "account-" + std::to_string(account);
+}
 int home_of_first(const FleetDay& day) {
-    return static_cast<int>(name_hash(account_name(0)) % static_cast<std::uint32_t>(day.instances));
+    return static_cast<int>(hash_name(account_name(0)) % static_cast<std::uint32_t>(day.instances));
 }
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/fleet/arrivals.h
+++ b/scenario_runner/fleet/arrivals.h
@@ -1,14 +1,14 @@
-// When each request of a fleet's day comes, of which account, and at which instance: the same draw for
-// sockets and virtual time. No I/O.
+// When each request of a fleet's day comes, of which account, and at which instance: the same draw
+// for sockets and virtual time. No I/O.
 #pragma once
 
 #include <random>
 #include <string>
 #include <vector>
 
-#include "drill/fleet/fleet.h"
+#include "scenario_runner/fleet/fleet.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 
 struct Arrival {
     Micros at{0};
@@ -30,4 +30,4 @@
 // Where the module keeps the first account's ledger.
 int home_of_first(const FleetDay& day);
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/fleet/fleet.cpp
+++ b/scenario_runner/fleet/fleet.cpp
@@ -1,11 +1,11 @@
-#include "drill/fleet/fleet.h"
+#include "scenario_runner/fleet/fleet.h"
 
 #include <algorithm>
 #include <map>
 
-#include "drill/reader.h"
+#include "scenario_runner/reader.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 namespace {
 using openapi::Value;
 using namespace std::chrono_literals;
@@ -20,7 +20,8 @@
     Reader r(item, field, file, problems);
     FleetTrouble t;
     std::string kind, who;
-    for (const char* name : {"do", "at", "for"}) r.need(name);
+    for (const char* name : {"do", "at", "for"})
+        r.need(name);
     r.read("do", kind);
     r.read_seconds("at", t.at);
     r.read_seconds("for", t.span);
@@ -33,8 +34,10 @@
             r.problem(*v, "instance", "home, or a rank");
         t.instance = static_cast<int>(rank);
     }
-    if (const auto it = kinds.find(kind); it != kinds.end()) t.kind = it->second;
-    else r.problem(item, "do", "kill, stall, partition, lose or restart-all");
+    if (const auto it = kinds.find(kind); it != kinds.end())
+        t.kind = it->second;
+    else
+        r.problem(item, "do", "kill, stall, partition, lose or restart-all");
     if (t.loss > 1) r.problem(item, "loss", "a share, 0 to 1");
     day.troubles.push_back(t);
 }
@@ -71,11 +74,14 @@
     r.read("most_refusal_ms", day.most_refusal_ms);
     std::string shape(to_string(day.shape));
     r.read("shape", shape);
-    if (const auto it = shapes.find(shape); it != shapes.end()) day.shape = it->second;
-    else r.problem(value, "shape", "even, halving or moving");
+    if (const auto it = shapes.find(shape); it != shapes.end())
+        day.shape = it->second;
+    else
+        r.problem(value, "shape", "even, halving or moving");
     if (day.instances > 500) r.problem(value, "instances", "500 at most");
     if (day.loss > 1 || day.first_share > 1) r.problem(value, "loss", "shares of 0 to 1");
-    if (day.most_delay < day.least_delay) r.problem(value, "most_delay_ms", "no less than least_delay_ms");
+    if (day.most_delay < day.least_delay)
+        r.problem(value, "most_delay_ms", "no less than least_delay_ms");
     if (day.length <= 0us || day.deadline <= 0us || day.aim <= 0us || day.move_every <= 0us)
         r.problem(value, "", "seconds, deadline_ms, aim_ms and move_every above 0");
     if (value.find("troubles")) day.troubles.clear();
@@ -96,7 +102,9 @@
 std::string_view to_string(Shape shape) {
     return shape == Shape::even ? "even" : shape == Shape::halving ? "halving" : "moving";
 }
-double burst_of(const FleetDay& day) { return day.burst > 0 ? day.burst : day.quota; }
+double burst_of(const FleetDay& day) {
+    return day.burst > 0 ? day.burst : day.quota;
+}
 
 bool is_fleet(std::string_view text, const std::string& file) {
     std::vector<openapi::Problem> ignored;
@@ -112,7 +120,8 @@
     FleetDay base;
     read_day(root, "fleet", file, problems, base, true);
     const Value* days = root.find("days");
-    if (!days) into.push_back(base);
+    if (!days)
+        into.push_back(base);
     else if (!days->is(Value::Kind::sequence) || days->items.empty())
         problems.push_back({file, days->line, "fleet.days", "a list of days"});
     else
@@ -124,4 +133,4 @@
     return problems.size() == before;
 }
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/fleet/fleet.h
+++ b/scenario_runner/fleet/fleet.h
@@ -1,6 +1,6 @@
-// A fleet under plain load, written down: how many instances, which accounts at what rate, what goes wrong
-// with messages and instances. The same day runs on sockets and in virtual time. YAML; every error with its
-// line. No I/O.
+// A fleet under plain load, written down: how many instances, which accounts at what rate, what
+// goes wrong with messages and instances. The same day runs on sockets and in virtual time. YAML;
+// every error with its line. No I/O.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 
 #include "openapi/document.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 
 using Micros = std::chrono::microseconds;
 
@@ -56,8 +56,9 @@
     Micros least_delay{100}, most_delay{200};
     std::vector<FleetTrouble> troubles;
     // What is held against the day's figures; 0: not looked at.
-    double least_served = 0;     // of what the quota and the demand allow, over any 5 s after the first 3
-    double most_over = 0;        // units above the quota's bucket
+    double least_served =
+        0;                 // of what the quota and the demand allow, over any 5 s after the first 3
+    double most_over = 0;  // units above the quota's bucket
     double most_wait_ms = 0;     // p99 of the wait for leave, after an account's first second
     double most_refusal_ms = 0;  // p99
 };
@@ -68,4 +69,4 @@
 bool parse_fleet(std::string_view text, const std::string& file, std::vector<FleetDay>& into,
                  std::vector<openapi::Problem>& problems);
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/fleet/socket_fleet.cpp
+++ b/scenario_runner/fleet/socket_fleet.cpp
@@ -1,4 +1,4 @@
-#include "drill/fleet/socket_fleet.h"
+#include "scenario_runner/fleet/socket_fleet.h"
 
 #include <fmt/format.h>
 #include <google/protobuf/text_format.h>
@@ -9,13 +9,13 @@
 #include <memory>
 
 #include "config/config.h"
-#include "drill/fleet/arrivals.h"
-#include "drill/gateway_process.h"
-#include "standins/client.h"
-#include "standins/host.h"
-#include "standins/relay.h"
+#include "fakes/client.h"
+#include "fakes/host.h"
+#include "fakes/relay.h"
+#include "scenario_runner/fleet/arrivals.h"
+#include "scenario_runner/gateway_process.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 namespace {
 using namespace std::chrono_literals;
 constexpr Micros look_period = 5ms, start_due = 30s, settle = 500ms;
@@ -34,36 +34,42 @@
         : day_(day), work_(work), arrivals_(day) {
         if (day.instances > 100)
             throw std::runtime_error(day.name + ": sockets carry 100 instances; use --virtual");
-        standins::HostSettings host;
+        fakes::HostSettings host;
         host.tally.cores = 64, host.tally.room = 4096;
         host.mean_work = day.host_time;
-        auto group = std::make_shared<standins::Group>();
+        auto group = std::make_shared<fakes::Group>();
         for (int i = 0; i < day.hosts; ++i)
-            hosts_.push_back(
-                std::make_unique<standins::Host>(loop_, host, day.seed + static_cast<std::uint64_t>(i),
-                                                 records_, group, [](const std::string&) { return ""; }));
+            hosts_.push_back(std::make_unique<fakes::Host>(
+                loop_, host, day.seed + static_cast<std::uint64_t>(i), records_, group,
+                [](const std::string&) { return ""; }));
         make_gateways(program);
-        clients_ = std::make_unique<standins::Clients>(loop_, day.seed, records_, [this] { return ports_; });
+        clients_ =
+            std::make_unique<fakes::Clients>(loop_, day.seed, records_, [this] { return ports_; });
         for (int i = 0; i < day.accounts; ++i) {
-            standins::Flow flow;
-            flow.account = account_name(i), flow.key = "key-" + std::to_string(i), flow.target = "/tally";
+            fakes::Flow flow;
+            flow.account = account_name(i), flow.key = "key-" + std::to_string(i),
+            flow.target = "/tally";
             flow.deadline = day.deadline;
             flows_.push_back(std::move(flow));
         }
     }
 
     FleetResult run() {
-        for (auto& g : gateways_) g->start();
+        for (auto& g : gateways_)
+            g->start();
         look_for_ports();
         wait_until(loop_.now() + start_due, [this] { return listening(); });
-        if (!listening()) result_.troubles.push_back("a gateway did not start; see its log in " + work_);
+        if (!listening())
+            result_.troubles.push_back("a gateway did not start; see its log in " + work_);
         wait_until(loop_.now() + settle, [] { return false; });
         begin_ = loop_.now();
-        for (const FleetTrouble& t : day_.troubles) plan(t);
+        for (const FleetTrouble& t : day_.troubles)
+            plan(t);
         if (result_.troubles.empty()) arrive();
         wait_until(begin_ + day_.length, [this] { return !result_.troubles.empty(); });
         wait_until(loop_.now() + day_.deadline + 1s, [this] { return clients_->waiting() == 0; });
-        for (auto& g : gateways_) g->stop(SIGTERM), result_.traffic.cpu_s += g->cpu_s();
+        for (auto& g : gateways_)
+            g->stop(SIGTERM), result_.traffic.cpu_s += g->cpu_s();
         if (relay_)
             result_.traffic.messages = relay_->carried() + relay_->lost(),
             result_.traffic.bytes = relay_->bytes();
@@ -79,7 +85,8 @@
             const std::string& at = host->address();
             const std::size_t colon = at.rfind(':');
             hosts += fmt::format(
-                "{}{{\"endpoint\":{{\"address\":{{\"socketAddress\":{{\"address\":\"{}\",\"portValue\":{}}}}}"
+                "{}{{\"endpoint\":{{\"address\":{{\"socketAddress\":{{\"address\":\"{}\","
+                "\"portValue\":{}}}}}"
                 "}}}}",
                 hosts.empty() ? "" : ",", at.substr(0, colon), at.substr(colon + 1));
         }
@@ -87,7 +94,7 @@
                    "{\"clusterName\":\"hosts\",\"endpoints\":[{\"lbEndpoints\":[" + hosts + "]}]}");
         const auto own = peer_addresses(day_.instances);
         if (day_.instances > 1) {
-            relay_ = std::make_unique<standins::Relay>(loop_, own, day_.seed);
+            relay_ = std::make_unique<fakes::Relay>(loop_, own, day_.seed);
             calm();
         }
         for (int i = 0; i < day_.instances; ++i) {
@@ -95,8 +102,8 @@
             std::string text;
             google::protobuf::TextFormat::PrintToString(config_of(i, own), &text);
             write_text(path, text);
-            gateways_.push_back(
-                std::make_unique<GatewayProcess>(program, path, fmt::format("{}/gateway-{}.log", work_, i)));
+            gateways_.push_back(std::make_unique<GatewayProcess>(
+                program, path, fmt::format("{}/gateway-{}.log", work_, i)));
             ports_.push_back(0);
             away_.push_back(false);
         }
@@ -129,9 +136,10 @@
         for (int k = 0; k < day_.instances; ++k) {
             auto* peer = fleet->add_peer();
             peer->set_rank(k);
-            peer->set_address(k == rank ? fmt::format("{}:{}", own[static_cast<std::size_t>(k)].first,
-                                                      own[static_cast<std::size_t>(k)].second)
-                                        : relay_->address(rank, k));
+            peer->set_address(k == rank
+                                  ? fmt::format("{}:{}", own[static_cast<std::size_t>(k)].first,
+                                                own[static_cast<std::size_t>(k)].second)
+                                  : relay_->address(rank, k));
         }
         return c;
     }
@@ -166,7 +174,8 @@
         loop_.after(begin_ + next_.at - loop_.now(), [this] {
             // Clients go on to the next instance where one is down.
             int at = next_.instance;
-            for (int tried = 0; ports_[static_cast<std::size_t>(at)] == 0 && tried < day_.instances; ++tried)
+            for (int tried = 0; ports_[static_cast<std::size_t>(at)] == 0 && tried < day_.instances;
+                 ++tried)
                 at = (at + 1) % day_.instances;
             clients_->ask(flows_[static_cast<std::size_t>(next_.account)], at);
             arrive();
@@ -209,7 +218,8 @@
     void read_records() {
         std::map<std::string, FleetTry> tries;
         std::map<std::string, int> accounts;
-        for (int i = 0; i < day_.accounts; ++i) accounts[account_name(i)] = i;
+        for (int i = 0; i < day_.accounts; ++i)
+            accounts[account_name(i)] = i;
         for (const auto& r : records_.all()) {
             const auto id = r.find("id");
             if (id == r.end()) continue;
@@ -234,22 +244,23 @@
                 one.ended = t, one.ending = Ending::failed;
             }
         }
-        for (auto& [id, one] : tries) result_.tries.push_back(one);
+        for (auto& [id, one] : tries)
+            result_.tries.push_back(one);
     }
 
     const FleetDay& day_;
     std::string work_;
     event::Loop loop_;
-    standins::Recorder records_;
+    fakes::Recorder records_;
     Arrivals arrivals_;
     Arrival next_;
-    std::vector<std::unique_ptr<standins::Host>> hosts_;
-    std::unique_ptr<standins::Relay> relay_;
+    std::vector<std::unique_ptr<fakes::Host>> hosts_;
+    std::unique_ptr<fakes::Relay> relay_;
     std::vector<std::unique_ptr<GatewayProcess>> gateways_;
     std::vector<int> ports_;
     std::vector<bool> away_;
-    std::vector<standins::Flow> flows_;
-    std::unique_ptr<standins::Clients> clients_;
+    std::vector<fakes::Flow> flows_;
+    std::unique_ptr<fakes::Clients> clients_;
     Micros begin_{0};
     FleetResult result_;
 };
@@ -260,4 +271,4 @@
     return SocketDay(day, program, work).run();
 }
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/fleet/socket_fleet.h
+++ b/scenario_runner/fleet/socket_fleet.h
@@ -1,14 +1,15 @@
-// A fleet's day on loopback: gateways as processes, clients, hosts and a relay of messages as stand-ins here.
+// A fleet's day on loopback: gateways as processes, clients, hosts and a relay of messages as
+// stand-ins here.
 #pragma once
 
 #include <string>
 
-#include "drill/fleet/virtual_fleet.h"
+#include "scenario_runner/fleet/virtual_fleet.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 
 // `program`: the gateway's executable. `work`: a folder for configurations and logs. Throws
 // std::runtime_error with a plain message.
 FleetResult play_sockets(const FleetDay& day, const std::string& program, const std::string& work);
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/fleet/virtual_fleet.cpp
+++ b/scenario_runner/fleet/virtual_fleet.cpp
@@ -1,4 +1,4 @@
-#include "drill/fleet/virtual_fleet.h"
+#include "scenario_runner/fleet/virtual_fleet.h"
 
 #include <algorithm>
 #include <functional>
@@ -7,9 +7,9 @@
 #include <unordered_map>
 
 #include "core/core.h"
-#include "drill/fleet/arrivals.h"
+#include "scenario_runner/fleet/arrivals.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 namespace {
 using namespace std::chrono_literals;
 constexpr Micros way_to_host = 50us;  // one way, client to gateway and gateway to host
@@ -17,22 +17,28 @@
 
 class Simulation {
   public:
-    Simulation(const FleetDay& day, double messages_default) : day_(day), random_(day.seed), arrivals_(day) {
+    Simulation(const FleetDay& day, double messages_default)
+        : day_(day), random_(day.seed), arrivals_(day) {
         const auto n = static_cast<std::size_t>(day.instances);
-        settings_.instances = day.instances;
-        settings_.classes = {{"safe", Effect::safe, RepeatScope::all, day.aim, day.deadline, 0us, 1, 0}};
-        settings_.plans = {{"plan", day.quota, burst_of(day), 0, 1, 0, 0, day.ceiling, day.ceiling_burst}};
-        settings_.may_message = day.instances > 1;
-        settings_.may_advise_retry = true;
-        settings_.messages_per_s = day.messages_per_s > 0 ? day.messages_per_s : messages_default;
-        settings_.tick = 4ms;
+        settings_.instance_count = day.instances;
+        settings_.classes = {{"safe", Idempotency::idempotent, DeduplicationScope::all, day.aim,
+                              day.deadline, 0us, 1, 0}};
+        settings_.plans = {
+            {"plan", day.quota, burst_of(day), 0, 1, 0, 0, day.ceiling, day.ceiling_burst}};
+        settings_.may_message_peers = day.instances > 1;
+        settings_.may_send_retry_after = true;
+        settings_.peer_messages_per_second =
+            day.messages_per_s > 0 ? day.messages_per_s : messages_default;
+        settings_.timer_tick = 4ms;
         for (std::size_t i = 0; i < n; ++i)
             nodes_.push_back(std::make_unique<Node>(*this, static_cast<int>(i)));
     }
 
     FleetResult run() {
-        for (auto& node : nodes_) node->begin();
-        for (const FleetTrouble& t : day_.troubles) plan(t);
+        for (auto& node : nodes_)
+            node->begin();
+        for (const FleetTrouble& t : day_.troubles)
+            plan(t);
         arrive();
         while (!events_.empty() && events_.top().at <= start + day_.length + day_.deadline + 1s) {
             Event e = std::move(const_cast<Event&>(events_.top()));
@@ -51,7 +57,7 @@
         std::function<void()> call;
         bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
     };
-    struct Node : core::Outside {
+    struct Node : core::Environment {
         Node(Simulation& s, int r) : sim(s), rank(r) {}
         void begin() {
             Settings settings = sim.settings_;
@@ -60,11 +66,11 @@
             stalled_until = 0us;
             own.clear();
             core = std::make_unique<core::Core>(settings, 0, sim.random_(), sim.now_, *this);
-            HostsChanged list{true, {}};
+            EndpointsChanged list{true, {}};
             for (int h = 0; h < sim.day_.hosts; ++h)
-                list.entries.push_back(
-                    {"10.0.0." + std::to_string(h + 1) + ":80", "", "", 0, HostState::up, 1, 0us});
-            core->hosts_changed(sim.now_, list);
+                list.endpoints.push_back({"10.0.0." + std::to_string(h + 1) + ":80", "", "", 0,
+                                          EndpointStatus::available, 1, 0us});
+            core->on_endpoints_changed(sim.now_, list);
         }
         // What comes to an instance that stands still waits until it goes on.
         template <typename Call>
@@ -77,10 +83,10 @@
         }
         void start_timer(Micros from_now, core::Timer timer) override {
             sim.at(sim.now_ + from_now, [this, l = life, timer] {
-                if (l == life) when_awake([this, timer] { core->timer_fired(sim.now_, timer); });
+                if (l == life) when_awake([this, timer] { core->on_timer(sim.now_, timer); });
             });
         }
-        void send(const core::AttemptKey& key, const std::string& host, Micros) override {
+        void send_attempt(const core::AttemptKey& key, const std::string& host, Micros) override {
             const Micros sent = sim.now_;
             const auto found = own.find(key.request);
             if (found != own.end()) {
@@ -91,27 +97,27 @@
             sim.at(sent + took, [this, l = life, key, host, took] {
                 if (l == life)
                     when_awake([this, key, host, took] {
-                        if (core->answer_begins(sim.now_, key, host, took, {})) {
-                            core->answer_ended(sim.now_, key.request, true);
+                        if (core->on_response_started(sim.now_, key, host, took, {})) {
+                            core->on_response_ended(sim.now_, key.request, true);
                             ended(key.request, Ending::served);
                         }
                     });
             });
         }
-        void cancel(const core::AttemptKey&) override {}
-        bool withdraw(const core::AttemptKey&) override { return false; }
-        void probe(const std::string&) override {}
-        void tell(int to, const std::string& bytes) override {
+        void cancel_attempt(const core::AttemptKey&) override {}
+        bool withdraw_attempt(const core::AttemptKey&) override { return false; }
+        void start_health_check(const std::string&) override {}
+        void send_message(int to, const std::string& bytes) override {
             for (int i = 0; i < sim.day_.instances; ++i)
                 if (i != rank && (to < 0 || to == i)) sim.carry(rank, i, bytes);
         }
-        void finish(RequestId id, const core::Final& answer) override {
-            ended(id, !answer.refused                                 ? Ending::failed
-                      : answer.refuse_reason == RefuseReason::quota   ? Ending::quota
-                      : answer.refuse_reason == RefuseReason::ceiling ? Ending::ceiling
-                                                                      : Ending::refused);
+        void finish_request(RequestId id, const core::FinalResponse& answer) override {
+            ended(id, !answer.rejected                                        ? Ending::failed
+                      : answer.reject_reason == RejectReason::quota_exhausted ? Ending::quota
+                      : answer.reject_reason == RejectReason::ceiling_reached ? Ending::ceiling
+                                                                              : Ending::refused);
         }
-        void cut(RequestId id) override { ended(id, Ending::failed); }
+        void abort_response(RequestId id) override { ended(id, Ending::failed); }
         void ended(RequestId id, Ending ending) {
             const auto it = own.find(id);
             if (it == own.end()) return;
@@ -127,11 +133,13 @@
         std::unordered_map<RequestId, std::size_t> own;  // requests in hand, by place in tries_
     };
 
-    void at(Micros when, std::function<void()> call) { events_.push({when, order_++, std::move(call)}); }
+    void at(Micros when, std::function<void()> call) {
+        events_.push({when, order_++, std::move(call)});
+    }
     Micros host_time() {
         std::uniform_real_distribution<double> spread(0.8, 1.2);
-        return Micros(
-            static_cast<std::int64_t>(static_cast<double>(day_.host_time.count()) * spread(random_)));
+        return Micros(static_cast<std::int64_t>(static_cast<double>(day_.host_time.count()) *
+                                                spread(random_)));
     }
 
     void arrive() {
@@ -145,7 +153,8 @@
     void take(const Arrival& a) {
         // Clients go on to the next instance where one is down.
         int i = a.instance;
-        for (int tried = 0; !nodes_[static_cast<std::size_t>(i)]->core && tried < day_.instances; ++tried)
+        for (int tried = 0; !nodes_[static_cast<std::size_t>(i)]->core && tried < day_.instances;
+             ++tried)
             i = (i + 1) % day_.instances;
         Node& node = *nodes_[static_cast<std::size_t>(i)];
         if (!node.core) return;
@@ -159,7 +168,8 @@
             node.when_awake([this, &node, place, a] {
                 const RequestId id = node.core->next_id();
                 node.own[id] = place;
-                node.core->take(now_, id, {account_name(a.account), 0, 0, 1, day_.deadline});
+                node.core->start_request(now_, id,
+                                         {account_name(a.account), 0, 0, 1, day_.deadline});
             });
         });
     }
@@ -170,10 +180,13 @@
         const double lost = uniform(random_);
         if (lost < std::max(day_.loss, loss_) || (parted_ && from % 2 != to % 2)) return;
         const auto spread = static_cast<double>((day_.most_delay - day_.least_delay).count());
-        const Micros delay = day_.least_delay + Micros(static_cast<std::int64_t>(uniform(random_) * spread));
+        const Micros delay =
+            day_.least_delay + Micros(static_cast<std::int64_t>(uniform(random_) * spread));
         at(now_ + delay, [this, from, to, bytes] {
             Node& node = *nodes_[static_cast<std::size_t>(to)];
-            node.when_awake([this, &node, from, bytes] { node.core->message_arrived(now_, {from, bytes}); });
+            node.when_awake([this, &node, from, bytes] {
+                node.core->on_peer_message(now_, {from, bytes});
+            });
         });
     }
     void kill(int i, Micros span) {
@@ -193,8 +206,9 @@
                 at(from, [this, who, t] { kill(who, t.span); });
                 break;
             case Trouble::stall:
-                at(from,
-                   [this, who, until] { nodes_[static_cast<std::size_t>(who)]->stalled_until = until; });
+                at(from, [this, who, until] {
+                    nodes_[static_cast<std::size_t>(who)]->stalled_until = until;
+                });
                 break;
             case Trouble::partition:
                 at(from, [this] { parted_ = true; });
@@ -230,4 +244,4 @@
     return Simulation(day, messages_default).run();
 }
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/fleet/virtual_fleet.h
+++ b/scenario_runner/fleet/virtual_fleet.h
@@ -1,12 +1,12 @@
-// A fleet's day in virtual time: the real core and module at every instance, with hosts, clients and messages
-// simulated around them. Same day, same seed: same result.
+// A fleet's day in virtual time: the real core and module at every instance, with hosts, clients
+// and messages simulated around them. Same day, same seed: same result.
 #pragma once
 
 #include <vector>
 
-#include "drill/fleet/measure.h"
+#include "scenario_runner/fleet/measure.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 
 struct FleetResult {
     std::vector<FleetTry> tries;
@@ -16,4 +16,4 @@
 // `messages_default`: where the day names none.
 FleetResult play_virtual(const FleetDay& day, double messages_default);
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/gateway_process.cpp
+++ b/scenario_runner/gateway_process.cpp
@@ -1,4 +1,4 @@
-#include "drill/gateway_process.h"
+#include "scenario_runner/gateway_process.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -14,7 +14,7 @@
 
 extern char** environ;
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 namespace {
 double seconds(const timeval& t) {
     return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_usec) / 1e6;
@@ -38,17 +38,21 @@
     return own;
 }
 
-GatewayProcess::~GatewayProcess() { stop(SIGKILL); }
+GatewayProcess::~GatewayProcess() {
+    stop(SIGKILL);
+}
 
 void GatewayProcess::start() {
     int pipe_ends[2];
-    if (pipe2(pipe_ends, O_CLOEXEC | O_NONBLOCK) != 0) throw std::runtime_error("no pipe for a gateway");
+    if (pipe2(pipe_ends, O_CLOEXEC | O_NONBLOCK) != 0)
+        throw std::runtime_error("no pipe for a gateway");
     out_ = event::Fd(pipe_ends[0]);
     event::Fd writing(pipe_ends[1]);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_adddup2(&actions, writing.get(), 1);
-    posix_spawn_file_actions_addopen(&actions, 2, log_.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+    posix_spawn_file_actions_addopen(&actions, 2, log_.c_str(), O_WRONLY | O_CREAT | O_APPEND,
+                                     0644);
     const char* argv[] = {program_.c_str(), "serve", "--config", config_.c_str(), nullptr};
     const int error =
         posix_spawn(&pid_, program_.c_str(), &actions, nullptr, const_cast<char**>(argv), environ);
@@ -82,4 +86,4 @@
     cpu_s_ += seconds(used.ru_utime) + seconds(used.ru_stime);
 }
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/gateway_process.h
+++ b/scenario_runner/gateway_process.h
@@ -9,14 +9,14 @@
 
 #include "event/loop.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 
-// Replaces the file at one stroke, as an operator's tool would: a gateway reads the old one or the new one.
-// Throws std::runtime_error where it cannot be written.
+// Replaces the file at one stroke, as an operator's tool would: a gateway reads the old one or the
+// new one. Throws std::runtime_error where it cannot be written.
 void write_text(const std::string& path, const std::string& text);
 
-// Where gateways hear their peers, by rank: a loopback address each, so that no other program's ports are in
-// the way.
+// Where gateways hear their peers, by rank: a loopback address each, so that no other program's
+// ports are in the way.
 std::vector<std::pair<std::string, int>> peer_addresses(int gateways);
 
 class GatewayProcess {
@@ -43,4 +43,4 @@
     double cpu_s_ = 0;
 };
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/judge.cpp
+++ b/scenario_runner/judge.cpp
@@ -1,4 +1,4 @@
-#include "drill/judge.h"
+#include "scenario_runner/judge.h"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 #include <set>
 #include <unordered_map>
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 namespace {
 using nlohmann::json;
 using Time = std::int64_t;
@@ -23,7 +23,8 @@
 
 class Judge {
   public:
-    Judge(const std::vector<json>& records, const Terms& terms) : records_(records), terms_(terms) {}
+    Judge(const std::vector<json>& records, const Terms& terms)
+        : records_(records), terms_(terms) {}
 
     Verdict run() {
         gather();
@@ -45,8 +46,10 @@
     static Time at(const json& r) { return r["t"].get<Time>(); }
     void looked(Rule rule) { ++verdict_.looked_at[rule]; }
     void broken(Rule rule, std::string what) {
-        if (told_[rule]++ < most_told) verdict_.broken.emplace_back(rule, std::move(what));
-        else ++hidden_[rule];
+        if (told_[rule]++ < most_told)
+            verdict_.broken.emplace_back(rule, std::move(what));
+        else
+            ++hidden_[rule];
     }
 
     void gather() {
@@ -54,9 +57,12 @@
             const std::string who = str(r, "who"), what = str(r, "what"), id = str(r, "id");
             if (who == "client") {
                 TryFacts& t = tries_[id];
-                if (what == "sent") t.sent = &r, ++t.sent_times;
-                else if (what == "extra") ++t.extras;
-                else t.ends.push_back(&r);
+                if (what == "sent")
+                    t.sent = &r, ++t.sent_times;
+                else if (what == "extra")
+                    ++t.extras;
+                else
+                    t.ends.push_back(&r);
             } else if (who == "host" && what == "received") {
                 tries_[id].received.push_back(&r);
             } else if (who == "drill" && (what == "killed" || what == "started")) {
@@ -74,8 +80,8 @@
             if (!started && t >= from) return true;
             up = started;
             if (t < from) continue;
-            // Came up within the span, so it was away before. At its first moment too: all that the drill
-            // sees in one turn of its loop has one time, whatever came first.
+            // Came up within the span, so it was away before. At its first moment too: all that the
+            // drill sees in one turn of its loop has one time, whatever came first.
             if (started) return true;
         }
         return !up;
@@ -97,15 +103,18 @@
         }
         const json& end = *t.ends.front();
         const std::string what = str(end, "what");
-        // A head that was followed by a break is an answer that failed: it looked at no time like a whole
-        // one.
+        // A head that was followed by a break is an answer that failed: it looked at no time like a
+        // whole one.
         const bool final = what == "answer" || (what == "broken" && end.value("head_seen", false));
-        if (!final && !excused) broken(rule, fmt::format("{}: {} at gateway {}", id, what, gateway));
+        if (!final && !excused)
+            broken(rule, fmt::format("{}: {} at gateway {}", id, what, gateway));
         if (final && at(end) > due && !excused)
-            broken(rule, fmt::format("{}: answered {} ms after its time", id, (at(end) - due) / 1000));
+            broken(rule,
+                   fmt::format("{}: answered {} ms after its time", id, (at(end) - due) / 1000));
         for (const json* r : t.received)
             if (final && at(*r) > at(end) + terms_.slack.count())
-                broken(rule, fmt::format("{}: sent to {} after its final answer", id, str(*r, "host")));
+                broken(rule,
+                       fmt::format("{}: sent to {} after its final answer", id, str(*r, "host")));
     }
 
     void counted_once(const std::string& id, const TryFacts& t) {
@@ -113,18 +122,21 @@
         looked(rule);
         if (!t.sent && !t.received.empty())
             broken(rule, fmt::format("{}: hosts received it, no client sent it", id));
-        if (t.sent_times > 1) broken(rule, fmt::format("{}: sent {} times by clients", id, t.sent_times));
+        if (t.sent_times > 1)
+            broken(rule, fmt::format("{}: sent {} times by clients", id, t.sent_times));
         std::set<int> attempts;
         for (const json* r : t.received)
             if (!attempts.insert(r->value("attempt", -1)).second)
-                broken(rule, fmt::format("{}: attempt {} received twice", id, r->value("attempt", -1)));
+                broken(rule,
+                       fmt::format("{}: attempt {} received twice", id, r->value("attempt", -1)));
         for (const json* r : t.received)
             if (t.sent && r->value("units", 0.0) != t.sent->value("units", 0.0))
                 broken(rule, fmt::format("{}: units changed on the way", id));
     }
 
-    // An operation that must not run twice: counted by what hosts ran, whichever try and gateway brought it.
-    // And a refusal says that nothing ran, so no host may have taken an unsafe one before it.
+    // An operation that must not run twice: counted by what hosts ran, whichever try and gateway
+    // brought it. And a refusal says that nothing ran, so no host may have taken an unsafe one
+    // before it.
     void effects() {
         constexpr Rule rule = Rule::no_effect_twice;
         std::map<std::string, int> runs;
@@ -143,7 +155,8 @@
             const bool refused = !t.ends.empty() && refusals.count(str(*t.ends.front(), "reason"));
             for (const json* r : t.received)
                 if (refused && r->value("taken", false))
-                    broken(rule, fmt::format("{}: refused though {} had taken it", id, str(*r, "host")));
+                    broken(rule,
+                           fmt::format("{}: refused though {} had taken it", id, str(*r, "host")));
         }
     }
 
@@ -156,7 +169,8 @@
         std::map<std::pair<int, std::string>, std::vector<Told>> told;  // by gateway and host
         std::map<int, std::set<std::string>> listed;
         for (const json& r : records_) {
-            if (str(r, "who") == "drill" && str(r, "what") == "killed") listed.erase(r.value("gateway", 0));
+            if (str(r, "who") == "drill" && str(r, "what") == "killed")
+                listed.erase(r.value("gateway", 0));
             if (str(r, "who") != "roster" || str(r, "what") != "told") continue;
             const int gateway = r.value("gateway", 0);
             for (const std::string& host : listed[gateway])
@@ -174,18 +188,20 @@
             std::optional<Time> down;  // since when the gateway knows better
             for (const Told& t : it->second) {
                 if (t.since > at(r)) break;
-                if (t.up) down.reset();
-                else if (!down) down = t.since;
+                if (t.up)
+                    down.reset();
+                else if (!down)
+                    down = t.since;
             }
             if (down && at(r) > *down + terms_.drain_grace.count() + terms_.slack.count())
-                broken(rule,
-                       fmt::format("{}: sent to {} by gateway {}, {} ms after it was told", str(r, "id"),
-                                   str(r, "host"), r.value("gateway", 0), (at(r) - *down) / 1000));
+                broken(rule, fmt::format("{}: sent to {} by gateway {}, {} ms after it was told",
+                                         str(r, "id"), str(r, "host"), r.value("gateway", 0),
+                                         (at(r) - *down) / 1000));
         }
     }
 
-    // Work received within any window of the fall time, against the multiple of what a cold host can do
-    // meanwhile.
+    // Work received within any window of the fall time, against the multiple of what a cold host
+    // can do meanwhile.
     void cold_hosts() {
         constexpr Rule rule = Rule::no_cold_host_pushed_over;
         if (terms_.fall_multiple <= 0) return;
@@ -214,8 +230,9 @@
                 const double window = static_cast<double>(terms_.fall_time.count()) / 1e6;
                 if (sum > terms_.fall_multiple * capacity * window + 2 * work)
                     return broken(
-                        rule, fmt::format("{}: {:.2f} s of work in {:.1f} s, {:.1f} s after its cold start",
-                                          host, sum, window, static_cast<double>(t - life.start) / 1e6));
+                        rule, fmt::format(
+                                  "{}: {:.2f} s of work in {:.1f} s, {:.1f} s after its cold start",
+                                  host, sum, window, static_cast<double>(t - life.start) / 1e6));
             }
         };
         for (const json& r : records_) {
@@ -232,7 +249,8 @@
                 broken(rule, fmt::format("{}: fell over", host));
             }
         }
-        for (const auto& [host, life] : lives) check(host, life);
+        for (const auto& [host, life] : lives)
+            check(host, life);
     }
 
     void ceilings() {
@@ -262,7 +280,8 @@
             s.level -= units;
             if (s.level < -std::max(terms_.ceiling_slack * c.burst, units) - 1e-9 &&
                 !std::exchange(s.told, true))
-                broken(rule, fmt::format("{}: {:.1f} units past its ceiling at {}", account, -s.level, id));
+                broken(rule, fmt::format("{}: {:.1f} units past its ceiling at {}", account,
+                                         -s.level, id));
         }
     }
 
@@ -282,12 +301,14 @@
     return names[static_cast<std::size_t>(rule)];
 }
 bool Verdict::broke(Rule rule) const {
-    return std::any_of(broken.begin(), broken.end(), [&](const auto& b) { return b.first == rule; });
+    return std::any_of(broken.begin(), broken.end(),
+                       [&](const auto& b) { return b.first == rule; });
 }
 
 Verdict judge(std::vector<json> records, const Terms& terms) {
-    std::stable_sort(records.begin(), records.end(),
-                     [](const json& a, const json& b) { return a["t"].get<Time>() < b["t"].get<Time>(); });
+    std::stable_sort(records.begin(), records.end(), [](const json& a, const json& b) {
+        return a["t"].get<Time>() < b["t"].get<Time>();
+    });
     return Judge(records, terms).run();
 }
 
@@ -313,11 +334,13 @@
         ++by_account[account_of[r.value("id", "")]][how];
     }
     std::string out = fmt::format("{:<14}{:>7}", "account", "tries");
-    for (const std::string& reason : reasons) out += fmt::format("{:>12}", reason);
+    for (const std::string& reason : reasons)
+        out += fmt::format("{:>12}", reason);
     out += "\n";
     for (const auto& [account, n] : sent) {
         out += fmt::format("{:<14}{:>7}", account, n);
-        for (const std::string& reason : reasons) out += fmt::format("{:>12}", by_account[account][reason]);
+        for (const std::string& reason : reasons)
+            out += fmt::format("{:>12}", by_account[account][reason]);
         out += "\n";
     }
     return out;
@@ -328,11 +351,13 @@
     for (int i = 0; i < rules; ++i) {
         const Rule rule = static_cast<Rule>(i);
         const auto it = verdict.looked_at.find(rule);
-        out += fmt::format("{:<26}{:<8}{} facts\n", to_string(rule), verdict.broke(rule) ? "BROKEN" : "kept",
+        out += fmt::format("{:<26}{:<8}{} facts\n", to_string(rule),
+                           verdict.broke(rule) ? "BROKEN" : "kept",
                            it == verdict.looked_at.end() ? 0 : it->second);
     }
-    for (const auto& [rule, what] : verdict.broken) out += fmt::format("  {}: {}\n", to_string(rule), what);
+    for (const auto& [rule, what] : verdict.broken)
+        out += fmt::format("  {}: {}\n", to_string(rule), what);
     return out;
 }
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/judge.h
+++ b/scenario_runner/judge.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 
 using Micros = std::chrono::microseconds;
 
@@ -35,7 +35,8 @@
 
 struct Verdict {
     std::vector<std::pair<Rule, std::string>> broken;
-    std::map<Rule, std::uint64_t> looked_at;  // facts that each rule was held against; 0 proves nothing
+    std::map<Rule, std::uint64_t>
+        looked_at;  // facts that each rule was held against; 0 proves nothing
     bool kept() const { return broken.empty(); }
     bool broke(Rule rule) const;
 };
@@ -47,4 +48,4 @@
 std::string summary(const std::vector<nlohmann::json>& records);
 std::string text_of(const Verdict& verdict);
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/reader.h
+++ b/scenario_runner/reader.h
@@ -8,7 +8,7 @@
 
 #include "openapi/document.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 
 // Reads one mapping's members and says which were not known.
 class Reader {
@@ -33,12 +33,15 @@
     void read(const std::string& name, std::string& into) {
         const openapi::Value* v = find(name);
         if (!v) return;
-        if (v->is(openapi::Value::Kind::scalar)) into = v->text;
-        else problem(*v, name, "text");
+        if (v->is(openapi::Value::Kind::scalar))
+            into = v->text;
+        else
+            problem(*v, name, "text");
     }
     void read(const std::string& name, double& into, double least = 0) {
         const openapi::Value* v = find(name);
-        if (v && (!v->as(into) || into < least)) problem(*v, name, "a number from " + std::to_string(least));
+        if (v && (!v->as(into) || into < least))
+            problem(*v, name, "a number from " + std::to_string(least));
     }
     template <typename Whole>
     void read_whole(const std::string& name, Whole& into, double least = 0) {
@@ -74,4 +77,4 @@
     std::set<std::string> known_;
 };
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/scenario.cpp
+++ b/scenario_runner/scenario.cpp
@@ -1,12 +1,12 @@
-#include "drill/scenario.h"
+#include "scenario_runner/scenario.h"
 
 #include <algorithm>
 #include <map>
 #include <set>
 
-#include "drill/reader.h"
+#include "scenario_runner/reader.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 namespace {
 using openapi::Value;
 using Kind = Value::Kind;
@@ -27,7 +27,8 @@
 
 int Scenario::hosts_in_all() const {
     int sum = 0;
-    for (const HostGroup& g : hosts) sum += g.count;
+    for (const HostGroup& g : hosts)
+        sum += g.count;
     return sum;
 }
 
@@ -38,7 +39,8 @@
     if (!openapi::parse(text, file, root, problems)) return false;
     {
         Reader r(root, "scenario", file, problems);
-        for (const char* name : {"name", "config", "description", "seconds", "hosts", "flows"}) r.need(name);
+        for (const char* name : {"name", "config", "description", "seconds", "hosts", "flows"})
+            r.need(name);
         r.read("name", into.name);
         r.read("config", into.config);
         r.read("description", into.description);
@@ -76,9 +78,10 @@
         }
         int number = 0;
         for (const Value& item : r.list("flows")) {
-            standins::Flow f;
+            fakes::Flow f;
             Reader w(item, "flows[" + std::to_string(number++) + "]", file, problems);
-            for (const char* name : {"account", "key", "target", "deadline_ms"}) w.need(name);
+            for (const char* name : {"account", "key", "target", "deadline_ms"})
+                w.need(name);
             w.read("account", f.account);
             w.read("key", f.key);
             w.read("method", f.method);
@@ -108,18 +111,20 @@
             w.read_seconds("for", x.span);
             w.read_whole("gateway", x.which);
             w.read_whole("host", x.which);
-            for (const char* name : {"plan", "zone", "file"}) w.read(name, x.text);
+            for (const char* name : {"plan", "zone", "file"})
+                w.read(name, x.text);
             w.read("loss", x.loss);
             const auto it = deeds().find(deed);
             if (it == deeds().end()) {
                 std::string all;
-                for (const auto& [name, value] : deeds()) all += (all.empty() ? "" : ", ") + name;
+                for (const auto& [name, value] : deeds())
+                    all += (all.empty() ? "" : ", ") + name;
                 w.problem(item, "do", "one of " + all);
                 continue;
             }
             x.deed = it->second;
-            const bool gateway =
-                x.deed == Deed::kill_gateway || x.deed == Deed::start_gateway || x.deed == Deed::cut_gateway;
+            const bool gateway = x.deed == Deed::kill_gateway || x.deed == Deed::start_gateway ||
+                                 x.deed == Deed::cut_gateway;
             const bool host = x.deed == Deed::drain_host || x.deed == Deed::kill_host ||
                               x.deed == Deed::start_host || x.deed == Deed::stall_host ||
                               x.deed == Deed::refuse_plan || x.deed == Deed::cut_answers;
@@ -135,4 +140,4 @@
     return problems.size() == before;
 }
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/drill/scenario.h
+++ b/scenario_runner/scenario.h
@@ -1,22 +1,22 @@
-// A bad day written down: who runs, who calls, and what goes wrong when. YAML; every error with its line. No
-// I/O.
+// A bad day written down: who runs, who calls, and what goes wrong when. YAML; every error with its
+// line. No I/O.
 #pragma once
 
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "fakes/client.h"
+#include "fakes/host.h"
 #include "openapi/document.h"
-#include "standins/client.h"
-#include "standins/host.h"
 
-namespace silverreach::drill {
+namespace silverreach::scenario {
 
 using Micros = std::chrono::microseconds;
 
 struct HostGroup {
     int count = 1;
-    standins::HostSettings settings;
+    fakes::HostSettings settings;
 };
 
 enum class Deed {
@@ -49,7 +49,7 @@
     Micros length{0}, settle{0};  // clients call for `length`, after `settle`
     int gateways = 1;
     std::vector<HostGroup> hosts;
-    std::vector<standins::Flow> flows;
+    std::vector<fakes::Flow> flows;
     std::vector<Happening> happenings;  // in order of time
     double loss = 0;
     Micros least_delay{0}, most_delay{0}, roster_lag{0};
@@ -63,4 +63,4 @@
 bool parse_scenario(std::string_view text, const std::string& file, Scenario& into,
                     std::vector<openapi::Problem>& problems);
 
-}  // namespace silverreach::drill
+}  // namespace silverreach::scenario
--- a/src/accounts/journal.cpp
+++ b/src/accounts/journal.cpp
@@ -9,7 +9,8 @@
 class Writer {
   public:
     void number(std::uint64_t value, int bytes) {
-        for (int i = bytes - 1; i >= 0; --i) out.push_back(static_cast<char>(value >> (8 * i) & 0xFF));
+        for (int i = bytes - 1; i >= 0; --i)
+            out.push_back(static_cast<char>(value >> (8 * i) & 0xFF));
     }
     void text(std::string_view t) {
         number(t.size(), 4);
@@ -25,7 +26,8 @@
     explicit Reader(std::string_view bytes) : in_(bytes) {}
     std::uint64_t number(int bytes) {
         std::uint64_t value = 0;
-        for (int i = 0; i < bytes; ++i) value = value << 8 | byte();
+        for (int i = 0; i < bytes; ++i)
+            value = value << 8 | byte();
         return value;
     }
     std::string text() {
@@ -37,7 +39,8 @@
     }
     Hash hash() {
         Hash h{};
-        for (auto& b : h) b = byte();
+        for (auto& b : h)
+            b = byte();
         return h;
     }
     Wall wall() { return Wall(static_cast<std::int64_t>(number(8))); }
@@ -54,7 +57,9 @@
     bool good_ = true;
 };
 
-std::uint64_t checksum(std::string_view bytes) { return XXH64(bytes.data(), bytes.size(), 0); }
+std::uint64_t checksum(std::string_view bytes) {
+    return XXH64(bytes.data(), bytes.size(), 0);
+}
 }  // namespace
 
 std::string encode(const Change& c) {
@@ -104,7 +109,8 @@
         }
         case 4: {
             IssueKey d;
-            d.id = r.text(), d.account = r.text(), d.hash = r.hash(), d.start = r.wall(), d.cutoff = r.wall();
+            d.id = r.text(), d.account = r.text(), d.hash = r.hash(), d.start = r.wall(),
+            d.cutoff = r.wall();
             c.deed = d;
             break;
         }
@@ -150,7 +156,8 @@
         const std::string_view slot = bytes.substr(at, slot_size);
         Reader r(slot);
         const Mark m{r.number(8), r.number(8)};
-        if (r.number(8) == checksum(slot.substr(0, 16)) && (!best || m.sequence > best->sequence)) best = m;
+        if (r.number(8) == checksum(slot.substr(0, 16)) && (!best || m.sequence > best->sequence))
+            best = m;
     }
     return best;
 }
@@ -158,18 +165,19 @@
 Recovered recover(std::string_view log, std::string_view mark_bytes, bool acknowledged_only) {
     Recovered out;
     const auto mark = read_mark(mark_bytes);
-    // The mark is whole before the log's first bytes are written, and one of its slots is at any time after
-    // that.
+    // The mark is whole before the log's first bytes are written, and one of its slots is at any
+    // time after that.
     if (!mark && log.size() >= log_magic.size())
         return out.problem = "the mark of what was acknowledged is damaged or gone", out;
     if (mark) out.mark = *mark;
     const auto refuse = [&](std::size_t at, const std::string& why) {
-        out.problem = "at byte " + std::to_string(at) + ": " + why + "; acknowledged changes would be lost";
+        out.problem =
+            "at byte " + std::to_string(at) + ": " + why + "; acknowledged changes would be lost";
         out.changes.clear();
     };
     if (log.size() < log_magic.size() || !log.starts_with(log_magic)) {
-        // A log that is not begun yet: nothing was acknowledged, and what is there is a beginning of the
-        // magic.
+        // A log that is not begun yet: nothing was acknowledged, and what is there is a beginning
+        // of the magic.
         if (out.mark.acknowledged == 0 && log_magic.starts_with(log)) return out;
         return refuse(0, "no log of this version"), out;
     }
--- a/src/accounts/journal.h
+++ b/src/accounts/journal.h
@@ -1,14 +1,14 @@
-// The registry's log as bytes: records with checksums, and what is to be believed of a log after a crash. No
-// I/O.
+// The registry's log as bytes: records with checksums, and what is to be believed of a log after a
+// crash. No I/O.
 //
 //   log     "SRREG1\n", then records: length (4), XXH64 of what follows (8), the change
-//   mark    two slots of 24 bytes, written in turn: sequence (8), bytes of the log acknowledged (8), XXH64 of
-//   both (8)
+//   mark    two slots of 24 bytes, written in turn: sequence (8), bytes of the log acknowledged
+//   (8), XXH64 of both (8)
 //
-// A change is appended and synced, then the mark is written and synced, then it is acknowledged. So what is
-// damaged below the mark was acknowledged and must not be lost: the log is refused. What is not whole beyond
-// it never was: it is cut off. A whole record beyond the mark is kept: its writer died between the log and
-// the acknowledgement.
+// A change is appended and synced, then the mark is written and synced, then it is acknowledged. So
+// what is damaged below the mark was acknowledged and must not be lost: the log is refused. What is
+// not whole beyond it never was: it is cut off. A whole record beyond the mark is kept: its writer
+// died between the log and the acknowledgement.
 #pragma once
 
 #include <optional>
--- a/src/accounts/key.cpp
+++ b/src/accounts/key.cpp
@@ -20,8 +20,8 @@
 }
 std::string check_of(std::string_view text) {
     std::uint8_t hash[crypto_generichash_BYTES_MIN];
-    crypto_generichash(hash, sizeof hash, reinterpret_cast<const std::uint8_t*>(text.data()), text.size(),
-                       nullptr, 0);
+    crypto_generichash(hash, sizeof hash, reinterpret_cast<const std::uint8_t*>(text.data()),
+                       text.size(), nullptr, 0);
     return spell(hash, check_length);
 }
 bool spelled(std::string_view text) {
@@ -33,7 +33,8 @@
 KeyShape look_at(std::string_view text) {
     constexpr std::size_t separator = prefix.size() + id_length;
     if (text.size() != key_length || !text.starts_with(prefix) || text[separator] != '_') return {};
-    const std::string_view id = text.substr(prefix.size(), id_length), rest = text.substr(separator + 1);
+    const std::string_view id = text.substr(prefix.size(), id_length),
+                           rest = text.substr(separator + 1);
     if (!spelled(id) || !spelled(rest)) return {};
     const std::size_t checked = key_length - check_length;
     if (text.substr(checked) != check_of(text.substr(0, checked))) return {Shape::mistyped, {}};
@@ -54,6 +55,8 @@
                        text.size(), pepper.data(), pepper.size());
     return hash;
 }
-bool same(const Hash& a, const Hash& b) { return sodium_memcmp(a.data(), b.data(), a.size()) == 0; }
+bool same(const Hash& a, const Hash& b) {
+    return sodium_memcmp(a.data(), b.data(), a.size()) == 0;
+}
 
 }  // namespace silverreach::accounts
--- a/src/accounts/key.h
+++ b/src/accounts/key.h
@@ -2,9 +2,9 @@
 //
 //   srk_<id: 10>_<secret: 32><check: 4>       letters and digits of Crockford's base32, lower case
 //
-// The id is public: it is in logs and lists. The check part is a hash of all before it, so that a mistyped
-// key is told from an unknown one without a look at any list. A key is kept only as a keyed hash (BLAKE2b
-// under the registry's own secret), and compared in constant time.
+// The id is public: it is in logs and lists. The check part is a hash of all before it, so that a
+// mistyped key is told from an unknown one without a look at any list. A key is kept only as a
+// keyed hash (BLAKE2b under the registry's own secret), and compared in constant time.
 #pragma once
 
 #include <array>
@@ -22,7 +22,11 @@
 inline constexpr std::size_t id_length = 10, secret_length = 32, check_length = 4;
 inline constexpr std::size_t key_length = 4 + id_length + 1 + secret_length + check_length;
 
-enum class Shape { sound, malformed, mistyped };
+enum class Shape {
+    sound,
+    malformed,
+    mistyped
+};
 struct KeyShape {
     Shape shape = Shape::malformed;
     std::string_view id;  // of a sound key; points into the text
--- a/src/accounts/registry.cpp
+++ b/src/accounts/registry.cpp
@@ -11,13 +11,18 @@
 // Names go into logs, files and messages as they are.
 bool sound_name(std::string_view name) {
     return !name.empty() && name.size() <= most_name &&
-           std::all_of(name.begin(), name.end(),
-                       [](unsigned char c) { return c > 0x20 && c < 0x7F && c != '"' && c != '\\'; });
+           std::all_of(name.begin(), name.end(), [](unsigned char c) {
+               return c > 0x20 && c < 0x7F && c != '"' && c != '\\';
+           });
+}
+bool sound_id(std::string_view id) {
+    return id.size() == id_length && sound_name(id);
 }
-bool sound_id(std::string_view id) { return id.size() == id_length && sound_name(id); }
 }  // namespace
 
-std::string_view to_string(Cause cause) { return causes[static_cast<std::size_t>(cause)]; }
+std::string_view to_string(Cause cause) {
+    return causes[static_cast<std::size_t>(cause)];
+}
 std::optional<Cause> cause_of(std::string_view name) {
     for (std::size_t i = 0; i < causes.size(); ++i)
         if (causes[i] == name) return static_cast<Cause>(i);
@@ -31,7 +36,8 @@
 
 std::string Registry::check(const Change& change) const {
     if (change.version != version_ + 1)
-        return "version " + std::to_string(change.version) + " does not follow " + std::to_string(version_);
+        return "version " + std::to_string(change.version) + " does not follow " +
+               std::to_string(version_);
     return why_not(change.deed, change.at);
 }
 std::string Registry::apply(const Change& change) {
@@ -48,11 +54,13 @@
         return it == accounts_.end() ? nullptr : &it->second;
     };
     const auto fresh_id = [&](const std::string& id) -> std::string {
-        if (!sound_id(id)) return "key id '" + id + "' is not of " + std::to_string(id_length) + " letters";
+        if (!sound_id(id))
+            return "key id '" + id + "' is not of " + std::to_string(id_length) + " letters";
         return keys_.count(id) ? "key " + id + " exists already" : "";
     };
     if (const auto* d = std::get_if<AddPlan>(&deed)) {
-        if (!sound_name(d->plan)) return "a plan's name is 1 to 200 printable characters without spaces";
+        if (!sound_name(d->plan))
+            return "a plan's name is 1 to 200 printable characters without spaces";
         return plans_.count(d->plan) ? "plan " + d->plan + " exists already" : "";
     }
     if (const auto* d = std::get_if<RemovePlan>(&deed)) {
@@ -71,8 +79,9 @@
             return "an account's name is 1 to 200 printable characters without spaces";
         if (!plans_.count(d->plan)) return "no plan " + d->plan;
         const Account* a = account(d->account);
-        return a && !a->merged_into.empty() ? "account " + d->account + " is merged into " + a->merged_into
-                                            : "";
+        return a && !a->merged_into.empty()
+                   ? "account " + d->account + " is merged into " + a->merged_into
+                   : "";
     }
     if (const auto* d = std::get_if<MergeAccounts>(&deed)) {
         const Account *from = account(d->from), *into = account(d->into);
@@ -80,8 +89,9 @@
         if (!into) return "no account " + d->into;
         if (!from->merged_into.empty())
             return "account " + d->from + " is merged into " + from->merged_into + " already";
-        return counts_for(d->into) == d->from ? "account " + d->into + " counts for " + d->from + " itself"
-                                              : "";
+        return counts_for(d->into) == d->from
+                   ? "account " + d->into + " counts for " + d->from + " itself"
+                   : "";
     }
     if (const auto* d = std::get_if<IssueKey>(&deed)) {
         if (std::string why = fresh_id(d->id); !why.empty()) return why;
@@ -117,7 +127,8 @@
         keys_[d->id] = {d->account, d->hash, d->start, d->cutoff, Cause::none, {}};
     if (const auto* d = std::get_if<RotateKey>(&deed)) {
         Key& old = keys_.at(d->id);
-        // The new one lasts as long as the old one was to; the old one's end only ever comes nearer.
+        // The new one lasts as long as the old one was to; the old one's end only ever comes
+        // nearer.
         const Key fresh{old.account, d->hash, at, old.cutoff, Cause::none, {}};
         old.cutoff = std::min(old.cutoff, at + std::min(d->overlap, Wall(Wall::max() - at)));
         old.successor = d->successor;
@@ -141,7 +152,8 @@
     now = latest_ = std::max(latest_, now);
     const KeyShape shape = look_at(text);
     if (shape.shape != Shape::sound)
-        return {shape.shape == Shape::mistyped ? Verdict::mistyped : Verdict::malformed, {}, {}, {}};
+        return {
+            shape.shape == Shape::mistyped ? Verdict::mistyped : Verdict::malformed, {}, {}, {}};
     // The hash is taken whether the id is known or not: time tells nothing of which ids there are.
     const Hash hash = hash_of(pepper_, text);
     const auto it = keys_.find(std::string(shape.id));
@@ -153,9 +165,12 @@
     auto account = accounts_.find(key.account);
     while (account != accounts_.end() && !account->second.merged_into.empty())
         account = accounts_.find(account->second.merged_into);
-    if (account != accounts_.end()) served.account = account->first, served.plan = account->second.plan;
-    if (key.cutoff != never && now + skew_ >= key.cutoff) served.verdict = Verdict::cut_off;
-    else if (now + skew_ < key.start) served.verdict = Verdict::early;
+    if (account != accounts_.end())
+        served.account = account->first, served.plan = account->second.plan;
+    if (key.cutoff != never && now + skew_ >= key.cutoff)
+        served.verdict = Verdict::cut_off;
+    else if (now + skew_ < key.start)
+        served.verdict = Verdict::early;
     return served;
 }
 
--- a/src/accounts/registry.h
+++ b/src/accounts/registry.h
@@ -1,7 +1,8 @@
-// Accounts, plans and keys, and what a key is worth at a moment. No I/O; time is given, by the wall clock.
+// Accounts, plans and keys, and what a key is worth at a moment. No I/O; time is given, by the wall
+// clock.
 //
-// The registry changes by changes alone, each of which is applied whole or not at all. The same changes in
-// the same order give the same registry everywhere.
+// The registry changes by changes alone, each of which is applied whole or not at all. The same
+// changes in the same order give the same registry everywhere.
 #pragma once
 
 #include <algorithm>
@@ -21,7 +22,13 @@
 using Wall = std::chrono::milliseconds;  // since 1970
 inline constexpr Wall never = Wall::max();
 
-enum class Cause { none, asked, leaked, closed, merged };
+enum class Cause {
+    none,
+    asked,
+    leaked,
+    closed,
+    merged
+};
 std::string_view to_string(Cause cause);
 std::optional<Cause> cause_of(std::string_view name);
 
@@ -66,14 +73,22 @@
     Wall cutoff{0};
     Cause cause = Cause::asked;
 };
-using Deed = std::variant<AddPlan, RemovePlan, PutAccount, MergeAccounts, IssueKey, RotateKey, RevokeKey>;
+using Deed =
+    std::variant<AddPlan, RemovePlan, PutAccount, MergeAccounts, IssueKey, RotateKey, RevokeKey>;
 struct Change {
     std::uint64_t version = 0;  // one more than that of the registry it applies to
     Wall at{0};
     Deed deed;
 };
 
-enum class Verdict { served, malformed, mistyped, unknown, early, cut_off };
+enum class Verdict {
+    served,
+    malformed,
+    mistyped,
+    unknown,
+    early,
+    cut_off
+};
 std::string_view to_string(Verdict verdict);
 
 struct Served {
@@ -90,9 +105,9 @@
     // What would be said, with nothing changed.
     std::string check(const Change& change) const;
 
-    // What the text is worth. Clocks may be wrong by up to the skew: a key starts that much earlier and ends
-    // that much earlier, so that no clock within it serves a key past its cutoff. A clock that steps back is
-    // not followed below the latest moment seen.
+    // What the text is worth. Clocks may be wrong by up to the skew: a key starts that much earlier
+    // and ends that much earlier, so that no clock within it serves a key past its cutoff. A clock
+    // that steps back is not followed below the latest moment seen.
     Served look_up(std::string_view text, Wall now);
 
     // Moments before this one are not believed any more.
--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -22,21 +22,21 @@
 
 Outcome read_outcome(std::string_view status) {
     static constexpr std::array<std::pair<std::string_view, Outcome>, 8> names{
-        {{"GOOD", Outcome::good},
+        {{"GOOD", Outcome::success},
          {"BAD", Outcome::error},
-         {"FULL", Outcome::full},
+         {"FULL", Outcome::rejected},
          {"LATE", Outcome::timeout},
          {"NOCONN", Outcome::connect_failed},
          {"RST", Outcome::reset},
          {"CXL", Outcome::cancelled},
-         {"NOP", Outcome::moot}}};
+         {"NOP", Outcome::not_started}}};
     for (const auto& [name, outcome] : names)
         if (name == status) return outcome;
     bad("status", "GOOD, BAD, FULL, LATE, NOCONN, RST, CXL or NOP");
 }
 
 struct Instance {
-    Gateway gateway;
+    DecisionEngine gateway;
     std::unordered_map<std::string, int> classes, plans;
 };
 
@@ -55,8 +55,8 @@
     LoadReport report;
     if (!f.present(at)) return report;
     const object o = as_object(f.at[at], "feedback");
-    read(o, "backlog", report.queued);
-    read(o, "outstanding", report.outstanding);
+    read(o, "backlog", report.queued_requests);
+    read(o, "outstanding", report.in_flight_requests);
     read(o, "utilization", report.utilization);
     return report;
 }
@@ -80,7 +80,7 @@
     std::uint64_t lines = 0;
     Micros now{0};
     bool in_batch = false;
-    std::array<std::optional<std::vector<HostEntry>>, lists_on_the_wire> lists;
+    std::array<std::optional<std::vector<EndpointEntry>>, lists_on_the_wire> lists;
     std::map<std::int64_t, Instance> instances;
     std::vector<Action> actions;
     std::string reply;
@@ -161,7 +161,8 @@
     const std::int64_t number = as_integer(f.get(0, "gatewayId"), "gatewayId");
     if (number < 0) bad("gatewayId", "a number not below 0");
     const Settings settings = read_settings(as_object(f.get(2, "config"), "config"));
-    Instance instance{Gateway(settings, as_unsigned(f.get(1, "rngSeed"), "rngSeed"), now), {}, {}};
+    Instance instance{
+        DecisionEngine(settings, as_unsigned(f.get(1, "rngSeed"), "rngSeed"), now), {}, {}};
     for (std::size_t i = 0; i < settings.classes.size(); ++i)
         instance.classes.emplace(settings.classes[i].name, static_cast<int>(i));
     for (std::size_t i = 0; i < settings.plans.size(); ++i)
@@ -173,27 +174,27 @@
     const std::int64_t slot = as_integer(f.get(0, "slot"), "slot");
     if (slot < 0 || slot >= static_cast<std::int64_t>(lists.size()))
         bad("slot", "a list number from 0 to 15");
-    std::vector<HostEntry> entries;
+    std::vector<EndpointEntry> entries;
     for (element e : as_array(f.get(1, "records"), "records")) {
         Fields row;
         for (element value : as_array(e, "records[]"))
             if (row.count < row.at.size()) row.at[row.count++] = value;
-        HostEntry entry;
-        entry.host = as_text(row.get(0, "host"), "host");
+        EndpointEntry entry;
+        entry.id = as_text(row.get(0, "host"), "host");
         if (row.present(1)) entry.zone = as_text(row.at[1], "failureDomain");
         if (row.present(2)) entry.kind = as_text(row.at[2], "hw");
         if (row.present(3)) entry.cell = as_integer(row.at[3], "pack");
         const std::string_view health = as_text(row.get(4, "health"), "health");
         if (health == "U")
-            entry.state = HostState::up;
+            entry.status = EndpointStatus::available;
         else if (health == "L")
-            entry.state = HostState::draining;
+            entry.status = EndpointStatus::draining;
         else if (health == "D")
-            entry.state = HostState::gone;
+            entry.status = EndpointStatus::removed;
         else
             bad("health", "U, L or D");
         if (row.present(5)) entry.weight = as_number(row.at[5], "weight");
-        if (row.present(6)) entry.started = Micros(as_integer(row.at[6], "bootTimeUs"));
+        if (row.present(6)) entry.started_at = Micros(as_integer(row.at[6], "bootTimeUs"));
         entries.push_back(std::move(entry));
     }
     lists[static_cast<std::size_t>(slot)] = std::move(entries);
@@ -202,7 +203,16 @@
 void Link::State::event(std::string_view name, const Fields& f) {
     if (name == "Attach") return attach(f);
     if (name == "Directory") return directory(f);
-    enum class Kind { sync, request, returned, destroy, gone, peer, ping, timer };
+    enum class Kind {
+        sync,
+        request,
+        returned,
+        destroy,
+        gone,
+        peer,
+        ping,
+        timer
+    };
     static const std::unordered_map<std::string_view, Kind> kinds{
         {"Sync", Kind::sync},       {"NewRequest", Kind::request}, {"Returned", Kind::returned},
         {"Destroy", Kind::destroy}, {"Gone", Kind::gone},          {"PeerData", Kind::peer},
@@ -220,7 +230,7 @@
             bad("slot", "the number of a list that a Directory declared");
         if (found == instances.end()) return;
         return feed(number, found->second,
-                    HostsChanged{how != "update", *lists[static_cast<std::size_t>(slot)]});
+                    EndpointsChanged{how != "update", *lists[static_cast<std::size_t>(slot)]});
     }
     if (found == instances.end()) return;
     Instance& instance = found->second;
@@ -228,16 +238,17 @@
         case Kind::request: {
             RequestArrived r;
             r.id = as_unsigned(f.get(1, "xid"), "xid");
-            if (f.present(2)) r.set_size = static_cast<int>(as_integer(f.at[2], "nEntries"));
-            if (f.present(3)) r.set_start = static_cast<int>(as_integer(f.at[3], "setStart"));
-            r.time_left = Micros(as_integer(f.get(4, "timeLeftUs"), "timeLeftUs"));
+            if (f.present(2)) r.subset_size = static_cast<int>(as_integer(f.at[2], "nEntries"));
+            if (f.present(3)) r.subset_start = static_cast<int>(as_integer(f.at[3], "setStart"));
+            r.time_remaining = Micros(as_integer(f.get(4, "timeLeftUs"), "timeLeftUs"));
             if (f.present(5)) r.customer = as_text(f.at[5], "apiKey");
             r.plan = -1;
             if (f.present(7)) {
                 const auto plan = instance.plans.find(std::string(as_text(f.at[7], "contract")));
                 if (plan != instance.plans.end()) r.plan = plan->second;
             }
-            const auto cls = instance.classes.find(std::string(as_text(f.get(8, "category"), "category")));
+            const auto cls =
+                instance.classes.find(std::string(as_text(f.get(8, "category"), "category")));
             if (cls == instance.classes.end()) bad("category", "a class of the settings");
             r.request_class = cls->second;
             if (f.present(9)) r.units = as_number(f.at[9], "sizeUnits");
@@ -247,38 +258,39 @@
             AttemptEnded a;
             a.id = as_unsigned(f.get(1, "xid"), "xid");
             a.attempt = static_cast<int>(as_integer(f.get(2, "sendNo"), "sendNo"));
-            a.host = as_text(f.get(3, "host"), "host");
+            a.endpoint = as_text(f.get(3, "host"), "host");
             a.outcome = read_outcome(as_text(f.get(4, "status"), "status"));
-            if (f.present(5)) a.took = Micros(as_integer(f.at[5], "timeTakenUs"));
-            a.settled = as_bool(f.get(6, "settled"), "settled");
-            if (f.present(8)) a.true_units = as_number(f.at[8], "actual");
-            a.report = read_report(f, 9);
+            if (f.present(5)) a.duration = Micros(as_integer(f.at[5], "timeTakenUs"));
+            a.request_completed = as_bool(f.get(6, "settled"), "settled");
+            if (f.present(8)) a.actual_units = as_number(f.at[8], "actual");
+            a.load_report = read_report(f, 9);
             return feed(number, instance, a);
         }
         case Kind::destroy:
             instances.erase(found);
             return;
         case Kind::gone:
-            return feed(number, instance, ClientLeft{as_unsigned(f.get(1, "xid"), "xid")});
+            return feed(number, instance, ClientDisconnected{as_unsigned(f.get(1, "xid"), "xid")});
         case Kind::peer: {
             const auto bytes = from_base64(as_text(f.get(2, "bytes"), "bytes"));
             if (!bytes) bad("bytes", "padded base64");
             const auto from = static_cast<int>(as_integer(f.get(1, "neighbour"), "neighbour"));
-            return feed(number, instance, MessageArrived{from, *bytes});
+            return feed(number, instance, PeerMessageReceived{from, *bytes});
         }
         case Kind::ping: {
-            ProbeEnded p;
-            p.host = as_text(f.get(1, "host"), "host");
+            HealthCheckEnded p;
+            p.endpoint = as_text(f.get(1, "host"), "host");
             p.outcome = read_outcome(as_text(f.get(2, "status"), "status"));
-            if (f.present(3)) p.took = Micros(as_integer(f.at[3], "timeTakenUs"));
-            p.report = read_report(f, 4);
+            if (f.present(3)) p.duration = Micros(as_integer(f.at[3], "timeTakenUs"));
+            p.load_report = read_report(f, 4);
             return feed(number, instance, p);
         }
         case Kind::timer: {
             const std::string_view label = as_text(f.get(1, "label"), "label");
             std::uint64_t token = 0;
             const auto read_to = std::from_chars(label.data(), label.data() + label.size(), token);
-            if (read_to.ec != std::errc() || read_to.ptr != label.data() + label.size()) return;  // not ours
+            if (read_to.ec != std::errc() || read_to.ptr != label.data() + label.size())
+                return;  // not ours
             return feed(number, instance, TimerFired{token});
         }
         case Kind::sync:
@@ -289,7 +301,8 @@
 void Link::State::feed(std::int64_t number, Instance& instance, const Event& event) {
     actions.clear();
     instance.gateway.handle(now, event, actions);
-    for (const Action& action : actions) write(number, action);
+    for (const Action& action : actions)
+        write(number, action);
 }
 
 void Link::State::write(std::int64_t number, const Action& action) {
@@ -299,15 +312,15 @@
         void operator()(const SendAttempt& a) const {
             s.open("Send", number);
             s.put(a.id);
-            s.put(a.host);
-            s.put(static_cast<std::uint64_t>(a.within.count()));
+            s.put(a.endpoint);
+            s.put(static_cast<std::uint64_t>(a.timeout.count()));
         }
-        void operator()(const Refuse& a) const {
+        void operator()(const RejectRequest& a) const {
             s.open("Bounce", number);
             s.put(a.id);
             s.put(static_cast<std::uint64_t>(a.retry_after.count()));
         }
-        void operator()(const Fail& a) const {
+        void operator()(const FailRequest& a) const {
             s.open("DropRequest", number);
             s.put(a.id);
         }
@@ -316,18 +329,18 @@
             s.put(a.id);
             s.put(static_cast<std::uint64_t>(a.attempt));
         }
-        void operator()(const ProbeHost& a) const {
+        void operator()(const StartHealthCheck& a) const {
             s.open("Test", number);
-            s.put(a.host);
+            s.put(a.endpoint);
         }
         void operator()(const SetTimer& a) const {
             s.open("WakeAt", number);
-            s.put(static_cast<std::uint64_t>(a.from_now.count()));
+            s.put(static_cast<std::uint64_t>(a.delay.count()));
             s.reply.append(",\"");
             put_number(s.reply, a.token);
             s.reply.push_back('"');
         }
-        void operator()(const SendMessage& a) const {
+        void operator()(const SendPeerMessage& a) const {
             s.open("WritePeer", number);
             if (a.to < 0)
                 s.put(std::string_view("*"));
--- a/src/benchlink/link.h
+++ b/src/benchlink/link.h
@@ -1,4 +1,5 @@
-// Speaks the bench's wire: JSON lines to events, actions to JSON lines, one Gateway for each instance number.
+// Speaks the bench's wire: JSON lines to events, actions to JSON lines, one Gateway for each
+// instance number.
 #pragma once
 
 #include <memory>
@@ -16,7 +17,8 @@
   public:
     Link();
     ~Link();
-    // Takes one line of input. At the end of a batch appends the whole reply to `out` and returns true.
+    // Takes one line of input. At the end of a batch appends the whole reply to `out` and returns
+    // true.
     bool take_line(std::string& line, std::string& out);
 
   private:
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -14,8 +14,8 @@
 #include "cli/instance.h"
 #include "cli/keys.h"
 #include "cli/node_program.h"
-#include "drill/drill.h"
 #include "event/signal.h"
+#include "scenario_runner/drill.h"
 
 namespace silverreach::cli {
 namespace {
@@ -27,7 +27,8 @@
     return std::string(std::istreambuf_iterator<char>(std::cin), {});
 }
 void print(const std::vector<openapi::Problem>& problems) {
-    for (const auto& p : problems) std::cerr << openapi::to_string(p) << "\n";
+    for (const auto& p : problems)
+        std::cerr << openapi::to_string(p) << "\n";
     if (problems.size() > 1) std::cerr << problems.size() << " problems\n";
 }
 
@@ -47,8 +48,8 @@
     return {std::move(config), problems.empty() ? Exit::done : Exit::bad_answer};
 }
 
-// Each client and host costs a descriptor; the soft limit is raised as far as the system lets an ordinary
-// user.
+// Each client and host costs a descriptor; the soft limit is raised as far as the system lets an
+// ordinary user.
 void raise_descriptor_limit() {
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -67,7 +68,8 @@
         } catch (const event::SystemRefused& error) {
             if (event::Loop::clock() >= until) throw;
             if (!std::exchange(told, true))
-                log.write(log::Level::warning, "start_delayed", {{"why", std::string(error.what())}});
+                log.write(log::Level::warning, "start_delayed",
+                          {{"why", std::string(error.what())}});
         }
         std::this_thread::sleep_for(start_again);
     }
@@ -118,7 +120,8 @@
         return Exit::system_refused;
     }
     std::vector<openapi::Problem> problems;
-    const auto description = openapi::load(*text, file, config::policy_of(*loaded.config), problems);
+    const auto description =
+        openapi::load(*text, file, config::policy_of(*loaded.config), problems);
     print(problems);
     if (!description) return Exit::bad_answer;
     std::cout << fmt::format("{}: good; {}: good, {} routes\n", path, file,
@@ -147,25 +150,30 @@
     std::cout << openapi::table_text(*description);
     if (config_path.empty())
         std::cout << "Without a configuration: class 'default' and 1 unit where none is given.\n";
-    else if (policy.reject_unpriced) std::cout << "A route without class or cost is rejected.\n";
+    else if (policy.reject_unpriced)
+        std::cout << "A route without class or cost is rejected.\n";
     else
-        std::cout << fmt::format("A route without class or cost counts as class '{}', {:g} units.\n",
-                                 policy.default_class, policy.default_units);
+        std::cout << fmt::format(
+            "A route without class or cost counts as class '{}', {:g} units.\n",
+            policy.default_class, policy.default_units);
     return Exit::done;
 }
 }  // namespace
 
 int run(int argc, char** argv) {
-    CLI::App app{"silverreach: an API gateway that keeps quotas and priorities over a fleet of instances"};
+    CLI::App app{
+        "silverreach: an API gateway that keeps quotas and priorities over a fleet of instances"};
     app.require_subcommand(1);
     app.footer(
-        "Exit codes: 0 done; 1 a bad file or a broken rule; 2 wrong usage; 3 the system refused something.");
+        "Exit codes: 0 done; 1 a bad file or a broken rule; 2 wrong usage; 3 the system refused "
+        "something.");
     int code = Exit::done;
     std::string path, config_path;
 
-    auto* serving = app.add_subcommand("serve",
-                                       "Run one instance. SIGHUP reads the description again; SIGTERM and "
-                                       "SIGINT end it after what is in hand");
+    auto* serving =
+        app.add_subcommand("serve",
+                           "Run one instance. SIGHUP reads the description again; SIGTERM and "
+                           "SIGINT end it after what is in hand");
     serving->add_option("--config", path, "Configuration, protobuf text format")->required();
     serving->callback([&] { code = serve(path); });
 
@@ -175,8 +183,8 @@
         "another discovery; SIGTERM ends it after what is in hand");
     noding->callback([&] { code = run_node(); });
 
-    auto* checking =
-        app.add_subcommand("check", "Check a configuration and its description; all errors at once");
+    auto* checking = app.add_subcommand(
+        "check", "Check a configuration and its description; all errors at once");
     checking->add_option("--config", path, "Configuration; - for standard input")->required();
     checking->callback([&] { code = check(path); });
 
@@ -187,7 +195,7 @@
     listing->callback([&] { code = routes(path, config_path); });
 
     add_key_commands(app, code);
-    drill::add_commands(app, code);
+    scenario::add_commands(app, code);
 
     try {
         app.parse(argc, argv);
--- a/src/cli/files.cpp
+++ b/src/cli/files.cpp
@@ -8,7 +8,8 @@
 namespace {
 int open_to_read(const std::string& path) {
     int fd = -1;
-    do fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
+    do
+        fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
     while (fd < 0 && errno == EINTR);
     return fd;
 }
@@ -18,8 +19,10 @@
     while (true) {
         const ssize_t n = ::read(fd, buffer, sizeof buffer);
         if (n == 0) return text;
-        if (n > 0) text.append(buffer, static_cast<std::size_t>(n));
-        else if (errno != EINTR) return std::nullopt;
+        if (n > 0)
+            text.append(buffer, static_cast<std::size_t>(n));
+        else if (errno != EINTR)
+            return std::nullopt;
     }
 }
 }  // namespace
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -13,26 +13,30 @@
     std::random_device device;
     return static_cast<std::uint64_t>(device()) << 32 | device();
 }
-std::int64_t whole(std::uint64_t value) { return static_cast<std::int64_t>(value); }
+std::int64_t whole(std::uint64_t value) {
+    return static_cast<std::int64_t>(value);
+}
 std::string_view name_of(Outcome outcome) {
-    constexpr std::array<std::string_view, 8> names = {"good",           "error", "full",      "timeout",
-                                                       "connect_failed", "reset", "cancelled", "moot"};
+    constexpr std::array<std::string_view, 8> names = {
+        "good", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"};
     return names[static_cast<std::size_t>(outcome)];
 }
 }  // namespace
 
-Instance::Instance(event::Loop& loop, const config::Config& config, std::string folder, log::Log& log)
+Instance::Instance(event::Loop& loop, const config::Config& config, std::string folder,
+                   log::Log& log)
     : loop_(loop),
       config_(config),
       folder_(std::move(folder)),
       log_(log),
-      timers_(loop, [this](std::uint64_t token) { core_->timer_fired(loop_.now(), {token}); }),
+      timers_(loop, [this](std::uint64_t token) { core_->on_timer(loop_.now(), {token}); }),
       background_(loop) {
     std::vector<openapi::Problem> problems;
     description_ = read_description(problems);
     if (!description_) {
         std::string all;
-        for (const auto& p : problems) all += (all.empty() ? "" : "\n") + openapi::to_string(p);
+        for (const auto& p : problems)
+            all += (all.empty() ? "" : "\n") + openapi::to_string(p);
         throw std::runtime_error(all);
     }
     if (config.has_registry()) {
@@ -50,22 +54,24 @@
         accounts_ = std::make_unique<config::Accounts>(config);
     }
     const std::uint64_t seed = seed_of(config);
-    core_ = std::make_unique<core::Core>(config::settings_of(config), config.peers().account_spread(), seed,
-                                         loop.now(), static_cast<core::Outside&>(*this));
-    upstream_ = std::make_unique<upstream::Upstream>(loop, config, static_cast<upstream::Events&>(*this));
+    core_ =
+        std::make_unique<core::Core>(config::settings_of(config), config.peers().account_spread(),
+                                     seed, loop.now(), static_cast<core::Environment&>(*this));
+    upstream_ = std::make_unique<upstream_http::Upstream>(
+        loop, config, static_cast<upstream_http::Events&>(*this));
     if (config.has_peers())
         peers_ = std::make_unique<peers::Peers>(loop, config, [this](int rank, std::string bytes) {
-            core_->message_arrived(loop_.now(), {rank, std::move(bytes)});
+            core_->on_peer_message(loop_.now(), {rank, std::move(bytes)});
         });
-    fronts::http::Front::Hooks hooks;
+    frontend::http::Front::Hooks hooks;
     hooks.description = [this] { return description_; };
-    hooks.record = [this](const fronts::http::Record& r) { record(r); };
+    hooks.record = [this](const frontend::http::Record& r) { record(r); };
     hooks.served_here = [this](const config::AccountRef& account) {
         const int instances = std::max(1, config_.peers().peer_size());
-        return core_->set_of(account.name).holds(config_.peers().rank(), instances);
+        return core_->subset_of(account.name).contains(config_.peers().rank(), instances);
     };
-    roster::Roster::Hooks list;
-    list.changed = [this](std::vector<HostEntry> hosts) { hosts_changed(std::move(hosts)); };
+    discovery::Roster::Hooks list;
+    list.changed = [this](std::vector<EndpointEntry> hosts) { hosts_changed(std::move(hosts)); };
     list.bad = [this](const std::vector<openapi::Problem>& found) {
         for (const auto& p : found)
             log_.write(log::Level::error, "hosts_bad", {{"problem", openapi::to_string(p)}});
@@ -73,13 +79,14 @@
     list.unreachable = [this](const std::string& why) {
         log_.write(log::Level::warning, "hosts_unreachable", {{"why", why}});
     };
-    front_ = std::make_unique<fronts::http::Front>(loop, config, *accounts_, *core_, std::move(hooks));
-    roster_ = std::make_unique<roster::Roster>(loop, config, folder_, std::move(list));
+    front_ =
+        std::make_unique<frontend::http::Front>(loop, config, *accounts_, *core_, std::move(hooks));
+    roster_ = std::make_unique<discovery::Roster>(loop, config, folder_, std::move(list));
 }
 Instance::~Instance() {
     alive_.reset();
-    // The front's connections may tell the core of their end; the core may still send: in this order none is
-    // missing.
+    // The front's connections may tell the core of their end; the core may still send: in this
+    // order none is missing.
     roster_.reset();
     front_.reset();
     upstream_.reset();
@@ -127,7 +134,8 @@
     }
     description_ = std::move(fresh);
     log_.write(log::Level::warning, "description_changed",
-               {{"version", description_->version}, {"routes", whole(description_->table.routes().size())}});
+               {{"version", description_->version},
+                {"routes", whole(description_->table.routes().size())}});
     return true;
 }
 
@@ -138,23 +146,23 @@
 }
 void Instance::wait_for_drain(Micros until, std::function<void()> done) {
     if (!front_->owes() || loop_.now() >= until) return done();
-    loop_.after(drain_look,
-                [this, until, done = std::move(done), alive = std::weak_ptr<bool>(alive_)]() mutable {
-                    if (!alive.expired()) wait_for_drain(until, std::move(done));
-                });
+    loop_.after(drain_look, [this, until, done = std::move(done),
+                             alive = std::weak_ptr<bool>(alive_)]() mutable {
+        if (!alive.expired()) wait_for_drain(until, std::move(done));
+    });
 }
 
 void Instance::log_counts() {
-    const core::Counts& c = core_->counts();
+    const core::Counters& c = core_->counters();
     const auto up = upstream_->stats();
-    log::Fields fields = {{"taken", whole(c.taken)},
+    log::Fields fields = {{"taken", whole(c.received)},
                           {"served", whole(c.served)},
-                          {"refused", whole(c.refused)},
+                          {"refused", whole(c.rejected)},
                           {"failed", whole(c.failed)},
-                          {"left", whole(c.left)},
-                          {"broken", whole(c.broken)},
+                          {"left", whole(c.disconnected)},
+                          {"broken", whole(c.aborted)},
                           {"attempts", whole(c.attempts)},
-                          {"held", whole(core_->held())},
+                          {"held", whole(core_->in_flight())},
                           {"clients", whole(front_->connections())},
                           {"host_connections", whole(up.open)},
                           {"opened", whole(up.opened)},
@@ -163,14 +171,15 @@
     log_.flush();
     if (!peers_) return;
     const auto& p = peers_->stats();
-    fields = {{"sent", whole(p.sent)}, {"received", whole(p.received)}, {"not_sent", whole(p.lost)}};
+    fields = {
+        {"sent", whole(p.sent)}, {"received", whole(p.received)}, {"not_sent", whole(p.lost)}};
     for (std::size_t i = 1; i < p.dropped.size(); ++i)
         if (p.dropped[i] > 0)
             fields.push_back({peers::to_string(static_cast<peers::Drop>(i)), whole(p.dropped[i])});
     log_.write(log::Level::info, "peers", fields);
 }
 
-void Instance::record(const fronts::http::Record& r) {
+void Instance::record(const frontend::http::Record& r) {
     const bool ours = r.reason != "served";
     if (!log_.wants(ours ? log::Level::info : log::Level::debug)) return;
     log_.write(ours ? log::Level::info : log::Level::debug, "request",
@@ -187,46 +196,62 @@
                 {"client", r.client}});
 }
 
-void Instance::hosts_changed(std::vector<HostEntry> hosts) {
+void Instance::hosts_changed(std::vector<EndpointEntry> hosts) {
     log_.write(log::Level::info, "hosts", {{"listed", whole(hosts.size())}});
     upstream_->keep_only(hosts);
-    core_->hosts_changed(loop_.now(), {true, std::move(hosts)});
+    core_->on_endpoints_changed(loop_.now(), {true, std::move(hosts)});
 }
 
-// ---- core::Outside ---------------------------------------------------------------------------------------
+// ---- core::Outside
+// ---------------------------------------------------------------------------------------
 
-void Instance::start_timer(Micros from_now, core::Timer timer) { timers_.start(from_now, timer.token); }
-void Instance::send(const core::AttemptKey& key, const std::string& host, Micros) {
+void Instance::start_timer(Micros from_now, core::Timer timer) {
+    timers_.start(from_now, timer.token);
+}
+void Instance::send_attempt(const core::AttemptKey& key, const std::string& host, Micros) {
     auto request = front_->out_request(key.request);
-    if (!request) return core_->attempt_ended(loop_.now(), key, host, Outcome::moot, 0us, {});
+    if (!request)
+        return core_->on_attempt_ended(loop_.now(), key, host, Outcome::not_started, 0us, {});
     upstream_->send(key, host, std::move(request));
 }
-void Instance::cancel(const core::AttemptKey& key) { upstream_->cancel(key); }
-bool Instance::withdraw(const core::AttemptKey& key) { return upstream_->withdraw(key); }
-void Instance::probe(const std::string& host) { upstream_->probe(host); }
-void Instance::tell(int rank, const std::string& bytes) {
+void Instance::cancel_attempt(const core::AttemptKey& key) {
+    upstream_->cancel(key);
+}
+bool Instance::withdraw_attempt(const core::AttemptKey& key) {
+    return upstream_->withdraw(key);
+}
+void Instance::start_health_check(const std::string& host) {
+    upstream_->probe(host);
+}
+void Instance::send_message(int rank, const std::string& bytes) {
     if (peers_) peers_->send(rank, bytes);
 }
-void Instance::finish(RequestId id, const core::Final& answer) { front_->finish(id, answer); }
-void Instance::cut(RequestId id) { front_->cut(id); }
+void Instance::finish_request(RequestId id, const core::FinalResponse& answer) {
+    front_->finish(id, answer);
+}
+void Instance::abort_response(RequestId id) {
+    front_->cut(id);
+}
 
-// ---- upstream::Events ------------------------------------------------------------------------------------
+// ---- upstream_http::Events
+// ------------------------------------------------------------------------------------
 
 bool Instance::hand_over(const core::AttemptKey& key) {
     front_->look_for_client(key.request);
-    return core_->hand_over(event::Loop::clock(), key).has_value();
+    return core_->begin_send(event::Loop::clock(), key).has_value();
 }
 bool Instance::answer_begins(const core::AttemptKey& key, const std::string& host, Micros took,
                              const LoadReport& report, http::Head& head) {
-    if (!core_->answer_begins(loop_.now(), key, host, took, report)) return false;
-    front_->answer_begins(key.request, host, head, [this, key](bool pause) { upstream_->read(key, !pause); });
+    if (!core_->on_response_started(loop_.now(), key, host, took, report)) return false;
+    front_->answer_begins(key.request, host, head,
+                          [this, key](bool pause) { upstream_->read(key, !pause); });
     return true;
 }
 void Instance::answer_body(const core::AttemptKey& key, std::string_view bytes) {
     front_->answer_body(key.request, bytes);
 }
 void Instance::answer_ended(const core::AttemptKey& key, bool whole, const http::Fields& trailers) {
-    core_->answer_ended(loop_.now(), key.request, whole);
+    core_->on_response_ended(loop_.now(), key.request, whole);
     front_->answer_ended(key.request, whole, trailers);
 }
 void Instance::attempt_ended(const core::AttemptKey& key, const std::string& host, Outcome outcome,
@@ -239,8 +264,10 @@
                     {"outcome", std::string(name_of(outcome))},
                     {"status", static_cast<std::int64_t>(status)},
                     {"took_us", static_cast<std::int64_t>(took.count())}});
-    core_->attempt_ended(loop_.now(), key, host, outcome, took, report);
+    core_->on_attempt_ended(loop_.now(), key, host, outcome, took, report);
+}
+void Instance::probe_ended(HealthCheckEnded ended) {
+    core_->on_health_check_ended(loop_.now(), std::move(ended));
 }
-void Instance::probe_ended(ProbeEnded ended) { core_->probe_ended(loop_.now(), std::move(ended)); }
 
 }  // namespace silverreach::cli
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -8,29 +8,29 @@
 #include "cli/files.h"
 #include "config/config.h"
 #include "core/core.h"
+#include "discovery/roster.h"
 #include "event/background.h"
 #include "event/loop.h"
 #include "event/token_timers.h"
-#include "fronts/http/front.h"
+#include "frontend/http/front.h"
 #include "log/log.h"
 #include "peers/peers.h"
 #include "registry/book.h"
-#include "roster/roster.h"
-#include "upstream/upstream.h"
+#include "upstream/http/upstream.h"
 
 namespace silverreach::cli {
 
-class Instance : private core::Outside, private upstream::Events {
+class Instance : private core::Environment, private upstream_http::Events {
   public:
-    // `folder`: what relative names in the configuration start from. Throws std::runtime_error with a plain
-    // message where a socket, file or the description is not to be had.
+    // `folder`: what relative names in the configuration start from. Throws std::runtime_error with
+    // a plain message where a socket, file or the description is not to be had.
     Instance(event::Loop& loop, const config::Config& config, std::string folder, log::Log& log);
     ~Instance();
 
     int port() const { return front_->port(); }
-    // Reads the description again, beside the traffic; a bad one is logged with all its errors and the old
-    // one stays. `done`, where given, hears whether it is in force. Asked again meanwhile, it reads once
-    // more.
+    // Reads the description again, beside the traffic; a bad one is logged with all its errors and
+    // the old one stays. `done`, where given, hears whether it is in force. Asked again meanwhile,
+    // it reads once more.
     void reload(std::function<void(bool)> done = {});
     // Takes no more, ends what is in hand, then calls `done`, after `most` at the latest.
     void drain(Micros most, std::function<void()> done);
@@ -39,29 +39,30 @@
   private:
     // ---- core::Outside ----
     void start_timer(Micros from_now, core::Timer timer) override;
-    void send(const core::AttemptKey& key, const std::string& host, Micros within) override;
-    void cancel(const core::AttemptKey& key) override;
-    bool withdraw(const core::AttemptKey& key) override;
-    void probe(const std::string& host) override;
-    void tell(int rank, const std::string& bytes) override;
-    void finish(RequestId id, const core::Final& answer) override;
-    void cut(RequestId id) override;
-    // ---- upstream::Events ----
+    void send_attempt(const core::AttemptKey& key, const std::string& host, Micros within) override;
+    void cancel_attempt(const core::AttemptKey& key) override;
+    bool withdraw_attempt(const core::AttemptKey& key) override;
+    void start_health_check(const std::string& host) override;
+    void send_message(int rank, const std::string& bytes) override;
+    void finish_request(RequestId id, const core::FinalResponse& answer) override;
+    void abort_response(RequestId id) override;
+    // ---- upstream_http::Events ----
     bool hand_over(const core::AttemptKey& key) override;
     bool answer_begins(const core::AttemptKey& key, const std::string& host, Micros took,
                        const LoadReport& report, http::Head& head) override;
     void answer_body(const core::AttemptKey& key, std::string_view bytes) override;
-    void answer_ended(const core::AttemptKey& key, bool whole, const http::Fields& trailers) override;
-    void attempt_ended(const core::AttemptKey& key, const std::string& host, Outcome outcome, Micros took,
-                       const LoadReport& report, int status) override;
-    void probe_ended(ProbeEnded ended) override;
+    void answer_ended(const core::AttemptKey& key, bool whole,
+                      const http::Fields& trailers) override;
+    void attempt_ended(const core::AttemptKey& key, const std::string& host, Outcome outcome,
+                       Micros took, const LoadReport& report, int status) override;
+    void probe_ended(HealthCheckEnded ended) override;
 
     std::shared_ptr<const openapi::Description> read_description(
         std::vector<openapi::Problem>& problems) const;
     bool take_description(std::shared_ptr<const openapi::Description> fresh,
                           const std::vector<openapi::Problem>& problems);
-    void record(const fronts::http::Record& record);
-    void hosts_changed(std::vector<HostEntry> hosts);
+    void record(const frontend::http::Record& record);
+    void hosts_changed(std::vector<EndpointEntry> hosts);
     void wait_for_drain(Micros until, std::function<void()> done);
 
     event::Loop& loop_;
@@ -75,10 +76,10 @@
     event::Background background_;
     bool reload_again_ = false;
     std::unique_ptr<core::Core> core_;
-    std::unique_ptr<upstream::Upstream> upstream_;
+    std::unique_ptr<upstream_http::Upstream> upstream_;
     std::unique_ptr<peers::Peers> peers_;
-    std::unique_ptr<fronts::http::Front> front_;
-    std::unique_ptr<roster::Roster> roster_;
+    std::unique_ptr<frontend::http::Front> front_;
+    std::unique_ptr<discovery::Roster> roster_;
 };
 
 }  // namespace silverreach::cli
--- a/src/cli/keys.cpp
+++ b/src/cli/keys.cpp
@@ -25,7 +25,9 @@
     gettimeofday(&t, nullptr);
     return Wall(static_cast<std::int64_t>(t.tv_sec) * 1000 + t.tv_usec / 1000);
 }
-Wall of_seconds(double s) { return Wall(static_cast<std::int64_t>(s * 1000)); }
+Wall of_seconds(double s) {
+    return Wall(static_cast<std::int64_t>(s * 1000));
+}
 std::string time_text(Wall w) {
     if (w == never) return "never";
     const std::time_t seconds = w.count() / 1000;
@@ -49,11 +51,13 @@
 int change(const Options& o, const Deed& deed, const std::string& said) {
     return guarded([&]() -> int {
         registry::Disk disk;
-        registry::Store store(o.folder, o.dry ? registry::Store::Mode::read : registry::Store::Mode::write,
+        registry::Store store(o.folder,
+                              o.dry ? registry::Store::Mode::read : registry::Store::Mode::write,
                               o.make && !o.dry, disk);
         const Wall at = now();
-        const std::string why = o.dry ? store.registry().check({store.registry().version() + 1, at, deed})
-                                      : store.change(deed, at);
+        const std::string why =
+            o.dry ? store.registry().check({store.registry().version() + 1, at, deed})
+                  : store.change(deed, at);
         if (!why.empty()) {
             std::cerr << why << "\n";
             return Exit::bad_answer;
@@ -65,23 +69,28 @@
 }
 
 // A fresh key; its text is printed once, after it is durable, and kept nowhere.
-int with_new_key(const Options& o, const std::function<Deed(const std::string& id, const Hash&)>& deed,
+int with_new_key(const Options& o,
+                 const std::function<Deed(const std::string& id, const Hash&)>& deed,
                  const std::string& what) {
     return guarded([&]() -> int {
         registry::Disk disk;
-        registry::Store store(o.folder, o.dry ? registry::Store::Mode::read : registry::Store::Mode::write,
+        registry::Store store(o.folder,
+                              o.dry ? registry::Store::Mode::read : registry::Store::Mode::write,
                               false, disk);
         const std::string text = make_key(registry::random_bytes());
         const std::string id(look_at(text).id);
         const Deed made = deed(id, hash_of(store.registry().pepper(), text));
-        const std::string why = o.dry ? store.registry().check({store.registry().version() + 1, now(), made})
-                                      : store.change(made, now());
+        const std::string why =
+            o.dry ? store.registry().check({store.registry().version() + 1, now(), made})
+                  : store.change(made, now());
         if (!why.empty()) {
             std::cerr << why << "\n";
             return Exit::bad_answer;
         }
-        if (o.dry) std::cout << "would do: " << what << "\n";
-        else std::cout << what << ": key " << id << ", shown this once:\n" << text << "\n";
+        if (o.dry)
+            std::cout << "would do: " << what << "\n";
+        else
+            std::cout << what << ": key " << id << ", shown this once:\n" << text << "\n";
         return Exit::done;
     });
 }
@@ -96,15 +105,18 @@
         const std::map<std::string, Account> sorted(r.accounts().begin(), r.accounts().end());
         for (const auto& [name, a] : sorted) {
             if (!o.account.empty() && name != o.account) continue;
-            std::cout << fmt::format("{}  plan {}{}\n", name, a.plan,
-                                     a.merged_into.empty() ? "" : "  counts for " + r.counts_for(name));
+            std::cout << fmt::format(
+                "{}  plan {}{}\n", name, a.plan,
+                a.merged_into.empty() ? "" : "  counts for " + r.counts_for(name));
             std::map<std::string, const Key*> ordered;
             for (const auto& [id, key] : r.keys())
                 if (key.account == name) ordered[id] = &key;
             for (const auto& [id, key] : ordered)
                 std::cout << fmt::format(
-                    "  {}  from {}  until {}{}{}\n", id, time_text(key->start), time_text(key->cutoff),
-                    key->cause == Cause::none ? "" : fmt::format("  revoked: {}", to_string(key->cause)),
+                    "  {}  from {}  until {}{}{}\n", id, time_text(key->start),
+                    time_text(key->cutoff),
+                    key->cause == Cause::none ? ""
+                                              : fmt::format("  revoked: {}", to_string(key->cause)),
                     key->successor.empty() ? "" : "  followed by " + key->successor);
         }
         return Exit::done;
@@ -140,7 +152,8 @@
     auto* plan = command("plan", "Add a plan; the first makes the registry with --make", true);
     plan->add_option("NAME", o->plan)->required();
     plan->add_flag("--make", o->make, "Make the folder where there is none");
-    plan->callback([o, &code] { code = change(*o, AddPlan{o->plan}, "plan " + o->plan + " added"); });
+    plan->callback(
+        [o, &code] { code = change(*o, AddPlan{o->plan}, "plan " + o->plan + " added"); });
 
     auto* drop = command("drop-plan", "Remove a plan; its accounts go over to another", true);
     drop->add_option("NAME", o->plan)->required();
@@ -153,14 +166,17 @@
     account->add_option("NAME", o->account)->required();
     account->add_option("--plan", o->plan)->required();
     account->callback([o, &code] {
-        code = change(*o, PutAccount{o->account, o->plan}, "account " + o->account + " on plan " + o->plan);
+        code = change(*o, PutAccount{o->account, o->plan},
+                      "account " + o->account + " on plan " + o->plan);
     });
 
-    auto* merge = command("merge", "Count one account's keys and use for another from now on", true);
+    auto* merge =
+        command("merge", "Count one account's keys and use for another from now on", true);
     merge->add_option("FROM", o->account)->required();
     merge->add_option("INTO", o->into)->required();
     merge->callback([o, &code] {
-        code = change(*o, MergeAccounts{o->account, o->into}, o->account + " counts for " + o->into);
+        code =
+            change(*o, MergeAccounts{o->account, o->into}, o->account + " counts for " + o->into);
     });
 
     auto* issue = command("issue", "Make a key for an account; its text is shown once", true);
@@ -180,8 +196,8 @@
             "issued for " + o->account);
     });
 
-    auto* rotate =
-        command("rotate", "Make a key that follows another; both work until the overlap ends", true);
+    auto* rotate = command(
+        "rotate", "Make a key that follows another; both work until the overlap ends", true);
     rotate->add_option("ID", o->id)->required();
     rotate->add_option("--overlap-s", o->overlap_s, "Seconds; a day by default")
         ->check(CLI::NonNegativeNumber);
@@ -205,11 +221,13 @@
                       "key " + o->id + " revoked");
     });
 
-    auto* listing = command("list", "Accounts and their keys, by id; no text of a key is kept", false);
+    auto* listing =
+        command("list", "Accounts and their keys, by id; no text of a key is kept", false);
     listing->add_option("--account", o->account, "This one alone");
     listing->callback([o, &code] { code = list(*o); });
 
-    auto* showing = command("show", "What a key is worth now; its text comes from standard input", false);
+    auto* showing =
+        command("show", "What a key is worth now; its text comes from standard input", false);
     showing->callback([o, &code] { code = show(*o); });
 }
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,3 +1,5 @@
 #include "cli/commands.h"
 
-int main(int argc, char** argv) { return silverreach::cli::run(argc, argv); }
+int main(int argc, char** argv) {
+    return silverreach::cli::run(argc, argv);
+}
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -22,12 +22,15 @@
 Micros unix_now() {
     return std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
 }
-std::int64_t whole(std::uint64_t value) { return static_cast<std::int64_t>(value); }
+std::int64_t whole(std::uint64_t value) {
+    return static_cast<std::int64_t>(value);
+}
 
 // The descriptors there are: told, and granted by the system.
 int descriptors(const platform::NodeLimits& told) {
     rlimit limit{};
-    if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) return told.sockets;
+    if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY)
+        return told.sockets;
     return static_cast<int>(std::min<rlim_t>(limit.rlim_cur, static_cast<rlim_t>(told.sockets)));
 }
 }  // namespace
@@ -38,9 +41,9 @@
       log_(log),
       offset_(unix_now() - event::Loop::clock()),
       judge_(config_),
-      timers_(loop, [this](std::uint64_t token) { core_->timer_fired(now(), {token}); }) {
+      timers_(loop, [this](std::uint64_t token) { core_->on_timer(now(), {token}); }) {
     core_ = std::make_unique<core::Core>(config_.settings, 0, config_.seed, now(),
-                                         static_cast<core::Outside&>(*this));
+                                         static_cast<core::Environment&>(*this));
     const auto sockets =
         static_cast<std::size_t>(std::max(8, descriptors(config_.limits) - reserved_descriptors));
     upstream_resp::PoolLimits pool;
@@ -48,40 +51,40 @@
     pool.connect = config_.connect_timeout, pool.probe = config_.connect_timeout;
     pool.idle = std::max<Micros>(config_.idle / 2, config_.idle - idle_reserve);
     pool.kept_bytes = static_cast<std::size_t>(config_.limits.memory_mb) * 1024 * 1024 / 8;
-    pool.ask_load = config_.settings.reports != LoadReports::none;
-    upstream_ =
-        std::make_unique<upstream_resp::Upstream>(loop, pool, static_cast<upstream_resp::Events&>(*this));
-    if (config_.peer_listen && config_.settings.may_message)
-        peers_ =
-            std::make_unique<peers::PlainPeers>(loop, *config_.peer_listen, config_.peers, config_.peers_all,
-                                                config_.settings.rank, [this](int rank, std::string bytes) {
-                                                    core_->message_arrived(now(), {rank, std::move(bytes)});
-                                                });
+    pool.ask_load = config_.settings.load_report_mode != LoadReportMode::none;
+    upstream_ = std::make_unique<upstream_resp::Upstream>(
+        loop, pool, static_cast<upstream_resp::Events&>(*this));
+    if (config_.peer_listen && config_.settings.may_message_peers)
+        peers_ = std::make_unique<peers::PlainPeers>(
+            loop, *config_.peer_listen, config_.peers, config_.peers_all, config_.settings.rank,
+            [this](int rank, std::string bytes) {
+                core_->on_peer_message(now(), {rank, std::move(bytes)});
+            });
     platform::TargetList known = config_.known;
     known.whole = true;
     hosts_changed(known);
-    fronts::resp::FrontLimits limits;
+    frontend::resp::FrontLimits limits;
     const std::size_t clients = sockets - pool.connections;
     limits.lingering = clients / 8;
     limits.connections = clients - limits.lingering;
     limits.kept_bytes = static_cast<std::size_t>(config_.limits.memory_mb) * 1024 * 1024 / 16;
-    front_ = std::make_unique<fronts::resp::Front>(loop, config_.listen, judge_, limits, *core_,
-                                                   [this] { return now(); });
+    front_ = std::make_unique<frontend::resp::Front>(loop, config_.listen, judge_, limits, *core_,
+                                                     [this] { return now(); });
     front_->on_shortage([this] { return upstream_->give_up_idle() || front_->give_up_idle(); });
-    front_->on_close([this](const fronts::resp::ClientClose& close) {
+    front_->on_close([this](const frontend::resp::ClientClose& close) {
         if (!log_.wants(log::Level::debug)) return;
         log_.write(log::Level::debug, "client_closed",
-                   {{"why", std::string(fronts::resp::text_of(close.reason))},
+                   {{"why", std::string(frontend::resp::text_of(close.reason))},
                     {"in_hand", whole(close.requests_in_hand)},
                     {"open_us", std::int64_t{close.open_for.count()}}});
     });
-    roster::Watch::Hooks hooks;
+    discovery::Watch::Hooks hooks;
     hooks.changed = [this](platform::TargetList list) { hosts_changed(list); };
     hooks.lost = [this](const std::string& why) {
         log_.write(log::Level::warning, "discovery_lost", {{"why", why}});
     };
     const std::int64_t from = config_.known.targets.empty() ? -1 : config_.known.revision;
-    watch_ = std::make_unique<roster::Watch>(loop, config_.discovery, from, std::move(hooks));
+    watch_ = std::make_unique<discovery::Watch>(loop, config_.discovery, from, std::move(hooks));
 }
 Node::~Node() {
     alive_.reset();
@@ -96,10 +99,11 @@
                 {"whole", std::int64_t{list.whole}},
                 {"listed", whole(list.targets.size())}});
     upstream_->hosts_changed(list);
-    HostsChanged change;
-    change.whole_list = list.whole;
-    for (const platform::Target& t : list.targets) change.entries.push_back(t.entry);
-    core_->hosts_changed(now(), std::move(change));
+    EndpointsChanged change;
+    change.complete = list.whole;
+    for (const platform::Target& t : list.targets)
+        change.endpoints.push_back(t.entry);
+    core_->on_endpoints_changed(now(), std::move(change));
     upstream_->take_back_unlisted();
 }
 
@@ -112,58 +116,63 @@
     if (std::exchange(draining_, true)) return;
     log_.write(log::Level::warning, "draining", {{"in_hand", whole(front_->in_hand())}});
     const Micros end = loop_.now() + most;
-    loop_.after(still, [this, end, done = std::move(done), alive = std::weak_ptr<bool>(alive_)]() mutable {
-        if (alive.expired()) return;
-        front_->stop_listening();
-        front_->close_when_idle(end);
-        wait_for_drain(std::move(done));
-    });
+    loop_.after(still,
+                [this, end, done = std::move(done), alive = std::weak_ptr<bool>(alive_)]() mutable {
+                    if (alive.expired()) return;
+                    front_->stop_listening();
+                    front_->close_when_idle(end);
+                    wait_for_drain(std::move(done));
+                });
 }
 // As long as a request is in hand it goes on, however late: to end by itself would lose it.
 void Node::wait_for_drain(std::function<void()> done) {
     if (!front_->listening() && front_->stats().connections == 0) return done();
-    loop_.after(drain_look, [this, done = std::move(done), alive = std::weak_ptr<bool>(alive_)]() mutable {
-        if (!alive.expired()) wait_for_drain(std::move(done));
-    });
+    loop_.after(drain_look,
+                [this, done = std::move(done), alive = std::weak_ptr<bool>(alive_)]() mutable {
+                    if (!alive.expired()) wait_for_drain(std::move(done));
+                });
 }
 
 void Node::log_counts() {
     log_.write(log::Level::info, "counts", traffic_fields());
     log_.write(log::Level::info, "closes", close_fields());
     const log::Fields rules = rule_fields();
-    const auto violated =
-        core_->counts().late_answers + core_->counts().unchecked_attempts + front_->stats().closed_in_hand;
+    const auto violated = core_->counters().late_responses + core_->counters().unchecked_attempts +
+                          front_->stats().closed_in_hand;
     log_.write(violated > 0 ? log::Level::error : log::Level::info, "rules", rules);
     log_.flush();
 }
 
 log::Fields Node::traffic_fields() const {
-    const core::Counts& c = core_->counts();
+    const core::Counters& c = core_->counters();
     const auto up = upstream_->stats();
     const auto f = front_->stats();
     rusage use{};
     getrusage(RUSAGE_SELF, &use);
-    const auto refused = [this](RefuseReason r) { return refused_[static_cast<std::size_t>(r)]; };
+    const auto refused = [this](RejectReason r) { return refused_[static_cast<std::size_t>(r)]; };
     const auto ended = [this](Outcome o) { return whole(ended_[static_cast<std::size_t>(o)]); };
-    const auto cpu = [](const timeval& t) { return std::int64_t{t.tv_sec} * 1000 + t.tv_usec / 1000; };
-    return {{"taken", whole(c.taken)},
+    const auto cpu = [](const timeval& t) {
+        return std::int64_t{t.tv_sec} * 1000 + t.tv_usec / 1000;
+    };
+    return {{"taken", whole(c.received)},
             {"served", whole(c.served)},
-            {"refused", whole(c.refused)},
-            {"refused_quota", whole(refused(RefuseReason::quota) + refused(RefuseReason::open))},
-            {"refused_ceiling", whole(refused(RefuseReason::ceiling))},
-            {"refused_pressed", whole(refused(RefuseReason::pressed))},
-            {"refused_no_host", whole(refused(RefuseReason::no_host))},
-            {"refused_no_answer", whole(refused(RefuseReason::no_answer))},
+            {"refused", whole(c.rejected)},
+            {"refused_quota", whole(refused(RejectReason::quota_exhausted) +
+                                    refused(RejectReason::concurrency_limit))},
+            {"refused_ceiling", whole(refused(RejectReason::ceiling_reached))},
+            {"refused_pressed", whole(refused(RejectReason::overloaded))},
+            {"refused_no_host", whole(refused(RejectReason::no_endpoint))},
+            {"refused_no_answer", whole(refused(RejectReason::no_response))},
             {"failed", whole(c.failed)},
-            {"left", whole(c.left)},
+            {"left", whole(c.disconnected)},
             {"attempts", whole(c.attempts)},
             {"ended_error", ended(Outcome::error)},
-            {"ended_full", ended(Outcome::full)},
+            {"ended_full", ended(Outcome::rejected)},
             {"ended_timeout", ended(Outcome::timeout)},
             {"ended_connect_failed", ended(Outcome::connect_failed)},
             {"ended_reset", ended(Outcome::reset)},
-            {"ended_moot", ended(Outcome::moot)},
-            {"held", whole(core_->held())},
+            {"ended_moot", ended(Outcome::not_started)},
+            {"held", whole(core_->in_flight())},
             {"clients", whole(f.connections)},
             {"accepted", whole(f.accepted)},
             {"nonsense", whole(f.nonsense)},
@@ -191,22 +200,22 @@
     const auto closes = front_->stats().closes;
     log::Fields fields;
     for (std::size_t i = 0; i < closes.size(); ++i)
-        fields.emplace_back(fronts::resp::text_of(static_cast<fronts::resp::CloseReason>(i)),
+        fields.emplace_back(frontend::resp::text_of(static_cast<frontend::resp::CloseReason>(i)),
                             whole(closes[i]));
     return fields;
 }
 
 // What the rules stopped, and what went past them: the last three stay 0.
 log::Fields Node::rule_fields() const {
-    const core::Counts& c = core_->counts();
-    log::Fields fields{{"stopped_choices", whole(c.stopped_choices.sum())},
-                       {"stopped_handovers", whole(c.stopped_handovers.sum())}};
-    for (std::size_t i = 0; i < rules::reason_count; ++i) {
-        const auto reason = static_cast<rules::Reason>(i);
-        const std::uint64_t stops = c.stopped_choices.of(reason) + c.stopped_handovers.of(reason);
-        if (stops > 0) fields.emplace_back(rules::text_of(reason), whole(stops));
+    const core::Counters& c = core_->counters();
+    log::Fields fields{{"stopped_choices", whole(c.blocked_choices.sum())},
+                       {"stopped_handovers", whole(c.blocked_sends.sum())}};
+    for (std::size_t i = 0; i < rules::block_reason_count; ++i) {
+        const auto reason = static_cast<rules::BlockReason>(i);
+        const std::uint64_t stops = c.blocked_choices.of(reason) + c.blocked_sends.of(reason);
+        if (stops > 0) fields.emplace_back(rules::to_string(reason), whole(stops));
     }
-    fields.emplace_back("late_answers", whole(c.late_answers));
+    fields.emplace_back("late_answers", whole(c.late_responses));
     fields.emplace_back("unchecked_attempts", whole(c.unchecked_attempts));
     fields.emplace_back("closed_in_hand", whole(front_->stats().closed_in_hand));
     return fields;
@@ -222,21 +231,24 @@
     const auto ms = [](Micros t) { return std::int64_t{t.count() / 1000}; };
     return {{"name", config_.name},
             {"port", std::int64_t{port()}},
-            {"instances", std::int64_t{config_.settings.instances}},
+            {"instances", std::int64_t{config_.settings.instance_count}},
             {"memory_mb", config_.limits.memory_mb},
             {"sockets", std::int64_t{config_.limits.sockets}},
             {"host_idle_ms", ms(config_.idle)},
             {"host_connect_ms", ms(config_.connect_timeout)}};
 }
 
-// ---- core::Outside ---------------------------------------------------------------------------------------
+// ---- core::Outside
+// ---------------------------------------------------------------------------------------
 
-void Node::start_timer(Micros from_now, core::Timer timer) { timers_.start(from_now, timer.token); }
-void Node::send(const core::AttemptKey& key, const std::string& host, Micros) {
+void Node::start_timer(Micros from_now, core::Timer timer) {
+    timers_.start(from_now, timer.token);
+}
+void Node::send_attempt(const core::AttemptKey& key, const std::string& host, Micros) {
     auto command = front_->out_command(key.request);
     if (!command) {
         upstream_resp::Answer moot;
-        moot.outcome = Outcome::moot;
+        moot.outcome = Outcome::not_started;
         return attempt_ended(key, host, 0us, std::move(moot));
     }
     if (log_.wants(log::Level::debug))
@@ -246,36 +258,46 @@
                {"host", host}});
     upstream_->send(key, host, std::move(command));
 }
-void Node::cancel(const core::AttemptKey& key) { upstream_->cancel(key); }
-bool Node::withdraw(const core::AttemptKey& key) { return upstream_->withdraw(key); }
-void Node::probe(const std::string& host) { upstream_->probe(host); }
-void Node::tell(int rank, const std::string& bytes) {
+void Node::cancel_attempt(const core::AttemptKey& key) {
+    upstream_->cancel(key);
+}
+bool Node::withdraw_attempt(const core::AttemptKey& key) {
+    return upstream_->withdraw(key);
+}
+void Node::start_health_check(const std::string& host) {
+    upstream_->probe(host);
+}
+void Node::send_message(int rank, const std::string& bytes) {
     if (peers_) peers_->send(rank, bytes);
 }
-void Node::finish(RequestId id, const core::Final& answer) {
-    if (answer.refused) ++refused_[static_cast<std::size_t>(answer.refuse_reason)];
+void Node::finish_request(RequestId id, const core::FinalResponse& answer) {
+    if (answer.rejected) ++refused_[static_cast<std::size_t>(answer.reject_reason)];
     if (log_.wants(log::Level::debug))
-        trace(answer.refused ? "refused" : "failed", id,
-              {{"client_id", fmt::format("{:016x}", front_->client_id(id))},
-               {"why", answer.refused ? refuse_texts[static_cast<std::size_t>(answer.refuse_reason)]
-                                      : fail_texts[static_cast<std::size_t>(answer.fail_reason)]},
-               {"retry_after_us", std::int64_t{answer.retry_after.count()}}});
+        trace(
+            answer.rejected ? "refused" : "failed", id,
+            {{"client_id", fmt::format("{:016x}", front_->client_id(id))},
+             {"why", answer.rejected ? refuse_texts[static_cast<std::size_t>(answer.reject_reason)]
+                                     : fail_texts[static_cast<std::size_t>(answer.failure_reason)]},
+             {"retry_after_us", std::int64_t{answer.retry_after.count()}}});
     front_->finish(id, answer);
 }
-void Node::cut(RequestId) {}  // an answer is taken whole or not at all
+void Node::abort_response(RequestId) {}  // an answer is taken whole or not at all
 
-void Node::stopped(const core::AttemptKey& key, const std::string& host, rules::Reason why) {
-    trace(
-        "attempt_stopped", key.request,
-        {{"attempt", std::int64_t{key.attempt}}, {"host", host}, {"why", std::string(rules::text_of(why))}});
+void Node::on_attempt_blocked(const core::AttemptKey& key, const std::string& host,
+                              rules::BlockReason why) {
+    trace("attempt_stopped", key.request,
+          {{"attempt", std::int64_t{key.attempt}},
+           {"host", host},
+           {"why", std::string(rules::to_string(why))}});
 }
 
-// ---- upstream_resp::Events -------------------------------------------------------------------------------
+// ---- upstream_resp::Events
+// -------------------------------------------------------------------------------
 
 std::optional<Micros> Node::hand_over(const core::AttemptKey& key) {
     front_->look_for_client(key.request);
     // Read afresh: the turn may have taken long since it began.
-    return core_->hand_over(event::Loop::clock() + offset_, key);
+    return core_->begin_send(event::Loop::clock() + offset_, key);
 }
 void Node::attempt_ended(const core::AttemptKey& key, const std::string& host, Micros took,
                          upstream_resp::Answer answer) {
@@ -286,14 +308,16 @@
                {"host", host},
                {"outcome", outcome_texts[static_cast<std::size_t>(answer.outcome)]},
                {"took_us", std::int64_t{took.count()}}});
-    if (answer.outcome != Outcome::good)
-        return core_->attempt_ended(now(), key, host, answer.outcome, took, answer.report);
-    if (core_->answer_begins(now(), key, host, took, answer.report, answer.true_units)) {
+    if (answer.outcome != Outcome::success)
+        return core_->on_attempt_ended(now(), key, host, answer.outcome, took, answer.report);
+    if (core_->on_response_started(now(), key, host, took, answer.report, answer.true_units)) {
         trace("served", key.request, {{"attempt", std::int64_t{key.attempt}}, {"host", host}});
         front_->answer(key.request, answer.value);
-        core_->answer_ended(now(), key.request, true);
+        core_->on_response_ended(now(), key.request, true);
     }
 }
-void Node::probe_ended(ProbeEnded ended) { core_->probe_ended(now(), std::move(ended)); }
+void Node::probe_ended(HealthCheckEnded ended) {
+    core_->on_health_check_ended(now(), std::move(ended));
+}
 
 }  // namespace silverreach::cli
