--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -1,5 +1,6 @@
-// The gateway on the operators' platform: `silverreach node`. The same core and module as `serve`, with the
-// platform's RESP2 towards clients and hosts, its discovery and its datagrams between instances.
+// The gateway on the operators' platform: `silverreach node`. The same core and module as `serve`,
+// with the platform's RESP2 towards clients and hosts, its discovery and its datagrams between
+// instances.
 #pragma once
 
 #include <array>
@@ -7,29 +8,30 @@
 #include <string>
 
 #include "core/core.h"
+#include "discovery/watch.h"
 #include "event/loop.h"
 #include "event/token_timers.h"
-#include "fronts/resp/front.h"
+#include "frontend/resp/front.h"
 #include "log/log.h"
 #include "peers/plain.h"
 #include "platform/config.h"
-#include "roster/watch.h"
 #include "upstream/resp/pool.h"
 
 namespace silverreach::cli {
 
-class Node : private core::Outside, private upstream_resp::Events {
+class Node : private core::Environment, private upstream_resp::Events {
   public:
     // Throws std::runtime_error with a plain message where a socket is not to be had.
     Node(event::Loop& loop, platform::NodeConfig config, log::Log& log);
     ~Node();
 
     int port() const { return front_->port(); }
-    // A new configuration: its discovery is followed from now on. What else differs waits for a restart.
+    // A new configuration: its discovery is followed from now on. What else differs waits for a
+    // restart.
     void reload(const platform::NodeConfig& fresh);
-    // Goes on serving for `notice`, while clients still come; then takes no new connection and calls `done`
-    // once all that it has taken is answered. What comes meanwhile is answered within `most` from now. A
-    // second call changes nothing.
+    // Goes on serving for `notice`, while clients still come; then takes no new connection and
+    // calls `done` once all that it has taken is answered. What comes meanwhile is answered within
+    // `most` from now. A second call changes nothing.
     void drain(Micros notice, Micros most, std::function<void()> done);
     void log_counts();
     log::Fields limits() const;  // by which it runs, for the log
@@ -37,19 +39,20 @@
   private:
     // ---- core::Outside ----
     void start_timer(Micros from_now, core::Timer timer) override;
-    void send(const core::AttemptKey& key, const std::string& host, Micros within) override;
-    void cancel(const core::AttemptKey& key) override;
-    bool withdraw(const core::AttemptKey& key) override;
-    void probe(const std::string& host) override;
-    void tell(int rank, const std::string& bytes) override;
-    void finish(RequestId id, const core::Final& answer) override;
-    void cut(RequestId id) override;
-    void stopped(const core::AttemptKey& key, const std::string& host, rules::Reason why) override;
+    void send_attempt(const core::AttemptKey& key, const std::string& host, Micros within) override;
+    void cancel_attempt(const core::AttemptKey& key) override;
+    bool withdraw_attempt(const core::AttemptKey& key) override;
+    void start_health_check(const std::string& host) override;
+    void send_message(int rank, const std::string& bytes) override;
+    void finish_request(RequestId id, const core::FinalResponse& answer) override;
+    void abort_response(RequestId id) override;
+    void on_attempt_blocked(const core::AttemptKey& key, const std::string& host,
+                            rules::BlockReason why) override;
     // ---- upstream_resp::Events ----
     std::optional<Micros> hand_over(const core::AttemptKey& key) override;
     void attempt_ended(const core::AttemptKey& key, const std::string& host, Micros took,
                        upstream_resp::Answer answer) override;
-    void probe_ended(ProbeEnded ended) override;
+    void probe_ended(HealthCheckEnded ended) override;
 
     Micros now() const { return loop_.now() + offset_; }
     void hosts_changed(const platform::TargetList& list);
@@ -62,8 +65,8 @@
     event::Loop& loop_;
     const platform::NodeConfig config_;
     log::Log& log_;
-    // The core's clock is Unix time as this process found it at its start, moved on by the monotonic clock:
-    // hosts' start times are in it, and it never goes back.
+    // The core's clock is Unix time as this process found it at its start, moved on by the
+    // monotonic clock: hosts' start times are in it, and it never goes back.
     const Micros offset_;
     platform::Judge judge_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
@@ -71,8 +74,8 @@
     std::unique_ptr<core::Core> core_;
     std::unique_ptr<upstream_resp::Upstream> upstream_;
     std::unique_ptr<peers::PlainPeers> peers_;
-    std::unique_ptr<fronts::resp::Front> front_;
-    std::unique_ptr<roster::Watch> watch_;
+    std::unique_ptr<frontend::resp::Front> front_;
+    std::unique_ptr<discovery::Watch> watch_;
     bool draining_ = false;
     std::array<std::uint64_t, 7> refused_{};  // by RefuseReason
     std::array<std::uint64_t, 8> ended_{};    // attempts, by Outcome
--- a/src/cli/node_program.cpp
+++ b/src/cli/node_program.cpp
@@ -74,7 +74,8 @@
         if (stopping_) return loop_.stop();
         try {
             platform::NodeConfig config = load(path_);
-            for (const RequestClass& c : config.settings.classes) longest_ = std::max(longest_, c.deadline);
+            for (const RequestClass& c : config.settings.classes)
+                longest_ = std::max(longest_, c.deadline);
             node_ = std::make_unique<Node>(loop_, std::move(config), log_);
         } catch (const ConfigNotWhole& error) {
             return start_later(error.what(), start_config_most, error.exit_code);
@@ -90,7 +91,8 @@
     }
     void start_later(const std::string& why, Micros most, int code) {
         if (event::Loop::clock() - start_began_ >= most) return give_up(why, code);
-        if (why != start_delayed_by_) log_.write(log::Level::warning, "start_delayed", {{"why", why}});
+        if (why != start_delayed_by_)
+            log_.write(log::Level::warning, "start_delayed", {{"why", why}});
         start_delayed_by_ = why;
         loop_.after(start_again, [this] { start(); });
     }
@@ -104,8 +106,8 @@
         loop_.after(counts_period, [this] { count(); });
     }
 
-    // The file may be half written when the signal comes: it is read again until it is whole, for a while, or
-    // until the next signal. The old configuration serves meanwhile.
+    // The file may be half written when the signal comes: it is read again until it is whole, for a
+    // while, or until the next signal. The old configuration serves meanwhile.
     void reload() {
         if (!node_) return;
         reload_until_ = loop_.now() + reload_most;
@@ -119,8 +121,9 @@
         } catch (const std::exception& error) {
             const bool last = loop_.now() >= reload_until_;
             if (!std::exchange(reload_told_, true) || last)
-                log_.write(log::Level::error, "configuration_kept",
-                           {{"why", std::string(error.what())}, {"tried_again", std::int64_t{!last}}});
+                log_.write(
+                    log::Level::error, "configuration_kept",
+                    {{"why", std::string(error.what())}, {"tried_again", std::int64_t{!last}}});
             if (last) return;
         }
         loop_.after(reload_again, [this, turn] { try_reload(turn); });
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -20,8 +20,8 @@
     std::vector<Problem>& problems;
     Collector(const std::string& f, std::vector<Problem>& p) : file(f), problems(p) {}
     void AddError(int line, int column, const std::string& message) override {
-        problems.push_back(
-            {file, line + 1, fmt::format("column {}", column + 1), "valid text format: " + message});
+        problems.push_back({file, line + 1, fmt::format("column {}", column + 1),
+                            "valid text format: " + message});
     }
     // Unknown fields come as warnings, so that reading goes on and all of them are told at once.
     void AddWarning(int line, int column, const std::string& message) override {
@@ -33,7 +33,8 @@
 // Looks at a message with the place of each field at hand.
 class Checker {
   public:
-    Checker(const std::string& file, std::vector<Problem>& problems, pb::TextFormat::ParseInfoTree* root)
+    Checker(const std::string& file, std::vector<Problem>& problems,
+            pb::TextFormat::ParseInfoTree* root)
         : file_(file), problems_(problems), root_(root) {}
 
     using Tree = pb::TextFormat::ParseInfoTree;
@@ -41,8 +42,8 @@
         const auto* f = owner.GetDescriptor()->FindFieldByName(field);
         return tree && f ? tree->GetTreeForNested(f, index) : nullptr;
     }
-    void problem(Tree* tree, const pb::Message& owner, const char* field, int index, std::string path,
-                 std::string expected) {
+    void problem(Tree* tree, const pb::Message& owner, const char* field, int index,
+                 std::string path, std::string expected) {
         const auto* f = owner.GetDescriptor()->FindFieldByName(field);
         int line = 0;
         if (tree && f) {
@@ -54,7 +55,8 @@
     void at_least(Tree* tree, const pb::Message& owner, const char* field, const std::string& path,
                   Number value, Number least) {
         if (!(value >= least) || !std::isfinite(static_cast<double>(value)))
-            problem(tree, owner, field, -1, path + field, fmt::format("{} or more, not {}", least, value));
+            problem(tree, owner, field, -1, path + field,
+                    fmt::format("{} or more, not {}", least, value));
     }
     Tree* root() { return root_; }
 
@@ -68,7 +70,8 @@
     auto* tree = Checker::nested(c.root(), config, "listen", -1);
     const Listen& l = config.listen();
     if (!parse_endpoint(l.address()))
-        c.problem(tree, l, "address", -1, "listen.address", "IP address and port, as in \"127.0.0.1:8080\"");
+        c.problem(tree, l, "address", -1, "listen.address",
+                  "IP address and port, as in \"127.0.0.1:8080\"");
     c.at_least(tree, l, "max_connections", "listen.", l.max_connections(), 1);
     c.at_least(tree, l, "max_target_bytes", "listen.", l.max_target_bytes(), 16);
     c.at_least(tree, l, "max_head_bytes", "listen.", l.max_head_bytes(), 256);
@@ -90,15 +93,18 @@
         if (!parse_endpoint(f.peer(i).address()))
             c.problem(peer, f.peer(i), "address", -1, path + "address", "IP address and UDP port");
         if (f.peer(i).rank() < 0 || f.peer(i).rank() >= f.peer_size())
-            c.problem(peer, f.peer(i), "rank", -1, path + "rank",
-                      fmt::format("a rank from 0 to {}, one for each peer listed", f.peer_size() - 1));
+            c.problem(
+                peer, f.peer(i), "rank", -1, path + "rank",
+                fmt::format("a rank from 0 to {}, one for each peer listed", f.peer_size() - 1));
         else if (!ranks.insert(f.peer(i).rank()).second)
             c.problem(peer, f.peer(i), "rank", -1, path + "rank", "a rank that no other peer has");
     }
     if (f.peer_size() == 0)
-        c.problem(c.root(), config, "peers", -1, "peers.peer", "every instance of the fleet, this one too");
+        c.problem(c.root(), config, "peers", -1, "peers.peer",
+                  "every instance of the fleet, this one too");
     else if (f.rank() < 0 || f.rank() >= f.peer_size())
-        c.problem(tree, f, "rank", -1, "peers.rank", fmt::format("a rank from 0 to {}", f.peer_size() - 1));
+        c.problem(tree, f, "rank", -1, "peers.rank",
+                  fmt::format("a rank from 0 to {}", f.peer_size() - 1));
     c.at_least(tree, f, "account_spread", "peers.", f.account_spread(), 0);
     c.at_least(tree, f, "messages_per_s", "peers.", f.messages_per_s(), 1.0);
 }
@@ -117,11 +123,13 @@
             c.problem(tree, k, "aim_ms", -1, path + "aim_ms", "no more than deadline_ms");
         c.at_least<std::int64_t>(tree, k, "repeat_window_ms", path, k.repeat_window_ms(), 0);
     }
-    if (names.empty()) c.problem(c.root(), config, "class", -1, "class", "one class of requests at least");
+    if (names.empty())
+        c.problem(c.root(), config, "class", -1, "class", "one class of requests at least");
     if (config.api().has_unpriced() && !names.count(config.api().unpriced().class_())) {
         auto* api = Checker::nested(c.root(), config, "api", -1);
-        c.problem(Checker::nested(api, config.api(), "unpriced", -1), config.api().unpriced(), "class", -1,
-                  "api.unpriced.class", fmt::format("one of {}", fmt::join(names, ", ")));
+        c.problem(Checker::nested(api, config.api(), "unpriced", -1), config.api().unpriced(),
+                  "class", -1, "api.unpriced.class",
+                  fmt::format("one of {}", fmt::join(names, ", ")));
     }
 }
 
@@ -136,7 +144,8 @@
         for (const auto& [name, value] :
              {std::pair{"rate", p.rate()}, std::pair{"burst", p.burst()},
               std::pair{"hard_rate", p.hard_rate()}, std::pair{"hard_burst", p.hard_burst()},
-              std::pair{"excess_worth", p.excess_worth()}, std::pair{"excess_cost", p.excess_cost()},
+              std::pair{"excess_worth", p.excess_worth()},
+              std::pair{"excess_cost", p.excess_cost()},
               std::pair{"worth_factor", p.worth_factor()}})
             c.at_least(tree, p, name, path, value, 0.0);
         c.at_least(tree, p, "max_open", path, p.max_open(), 0);
@@ -159,7 +168,8 @@
         if (a.name().empty() || !accounts.insert(a.name()).second)
             c.problem(tree, a, "name", -1, path + "name", "a name that no other account has");
         if (!names.count(a.plan()))
-            c.problem(tree, a, "plan", -1, path + "plan", fmt::format("one of {}", fmt::join(names, ", ")));
+            c.problem(tree, a, "plan", -1, path + "plan",
+                      fmt::format("one of {}", fmt::join(names, ", ")));
         for (int k = 0; k < a.key_size(); ++k)
             if (a.key(k).empty() || !keys.insert(a.key(k)).second)
                 c.problem(tree, a, "key", k, fmt::format("{}key[{}]", path, k),
@@ -182,7 +192,8 @@
     if (h.has_probe_path() && openapi::check_path(h.probe_path()) != openapi::PathFault::none)
         c.problem(tree, h, "probe_path", -1, "hosts.probe_path", "a path that starts with '/'");
     if (h.reports() == Hosts::ON_PROBE && !h.has_probe_path())
-        c.problem(tree, h, "reports", -1, "hosts.probe_path", "a path, where reports come on probes");
+        c.problem(tree, h, "reports", -1, "hosts.probe_path",
+                  "a path, where reports come on probes");
 }
 
 void check_rules(Checker& c, const Config& config) {
@@ -193,7 +204,8 @@
     c.at_least<std::int64_t>(rules, r, "fall_ms", "rules.", r.fall_ms(), 0);
     c.at_least(rules, r, "fall_multiple", "rules.", r.fall_multiple(), 0.0);
     if (!(r.start_capacity() > 0 && r.start_capacity() <= 1))
-        c.problem(rules, r, "start_capacity", -1, "rules.start_capacity", "a share above 0, up to 1");
+        c.problem(rules, r, "start_capacity", -1, "rules.start_capacity",
+                  "a share above 0, up to 1");
     const Attempts& a = config.attempts();
     auto* attempts = Checker::nested(c.root(), config, "attempts", -1);
     c.at_least(attempts, a, "most", "attempts.", a.most(), 1);
@@ -202,8 +214,9 @@
         const auto& full = config.host_answers().full(i);
         auto* answers = Checker::nested(c.root(), config, "host_answers", -1);
         if (full.status() < 400 || full.status() > 599)
-            c.problem(Checker::nested(answers, config.host_answers(), "full", i), full, "status", -1,
-                      fmt::format("host_answers.full[{}].status", i), "a status from 400 to 599");
+            c.problem(Checker::nested(answers, config.host_answers(), "full", i), full, "status",
+                      -1, fmt::format("host_answers.full[{}].status", i),
+                      "a status from 400 to 599");
     }
 }
 }  // namespace
@@ -218,7 +231,8 @@
     Endpoint e;
     std::string_view ip = text.substr(0, colon), port = text.substr(colon + 1);
     const auto read = std::from_chars(port.data(), port.data() + port.size(), e.port);
-    if (read.ec != std::errc() || read.ptr != port.data() + port.size() || e.port < 0 || e.port > 65535)
+    if (read.ec != std::errc() || read.ptr != port.data() + port.size() || e.port < 0 ||
+        e.port > 65535)
         return std::nullopt;
     e.v6 = ip.size() > 2 && ip.front() == '[' && ip.back() == ']';
     if (e.v6) ip = ip.substr(1, ip.size() - 2);
@@ -243,10 +257,12 @@
     const bool read = parser.Parse(&stream, config.get());
     std::vector<std::string> missing;
     config->FindInitializationErrors(&missing);
-    for (const std::string& field : missing) problems.push_back({file, 0, field, "a value"});
+    for (const std::string& field : missing)
+        problems.push_back({file, 0, field, "a value"});
     if (!read) return nullptr;
     Checker checker(file, problems, &tree);
-    if (!config->has_api()) checker.problem(&tree, *config, "api", -1, "api.description", "an OpenAPI file");
+    if (!config->has_api())
+        checker.problem(&tree, *config, "api", -1, "api.description", "an OpenAPI file");
     check_listen(checker, *config);
     check_peers(checker, *config);
     check_classes(checker, *config);
@@ -259,41 +275,43 @@
 Settings settings_of(const Config& c) {
     using std::chrono::milliseconds;
     Settings s;
-    if (c.has_peers()) s.rank = c.peers().rank(), s.instances = c.peers().peer_size();
+    if (c.has_peers()) s.rank = c.peers().rank(), s.instance_count = c.peers().peer_size();
     s.zone = c.zone();
     for (const RequestClass& k : c.class_())
         for (int effect = 0; effect < effects; ++effect)
-            s.classes.push_back({k.name(), static_cast<Effect>(effect),
-                                 static_cast<RepeatScope>(k.repeat_scope()), milliseconds(k.aim_ms()),
-                                 milliseconds(k.deadline_ms()), milliseconds(k.repeat_window_ms()), k.worth(),
-                                 k.late_worth()});
+            s.classes.push_back({k.name(), static_cast<Idempotency>(effect),
+                                 static_cast<DeduplicationScope>(k.repeat_scope()),
+                                 milliseconds(k.aim_ms()), milliseconds(k.deadline_ms()),
+                                 milliseconds(k.repeat_window_ms()), k.worth(), k.late_worth()});
     for (const Plan& p : c.plan())
-        s.plans.push_back({p.name(), p.rate(), p.burst(), p.max_open(), p.worth_factor(), p.excess_worth(),
-                           p.excess_cost(), p.hard_rate(), p.hard_burst()});
+        s.plans.push_back({p.name(), p.rate(), p.burst(), p.max_open(), p.worth_factor(),
+                           p.excess_worth(), p.excess_cost(), p.hard_rate(), p.hard_burst()});
     s.max_attempts = c.attempts().most();
-    s.second_copies = c.attempts().second_copies();
+    s.may_hedge = c.attempts().second_copies();
     s.may_cancel = c.attempts().cancel();
-    s.may_advise_retry = c.attempts().advise_retry();
+    s.may_send_retry_after = c.attempts().advise_retry();
     s.max_retry_after = milliseconds(c.attempts().max_retry_after_ms());
-    s.may_probe = c.hosts().has_probe_path();
-    s.may_message = s.instances > 1;
-    s.messages_per_s = c.peers().messages_per_s();
-    s.reports = static_cast<LoadReports>(c.hosts().reports());
-    s.tick = milliseconds(c.rules().tick_ms());
-    s.cold_time = milliseconds(c.rules().cold_ms());
-    s.fall_time = milliseconds(c.rules().fall_ms());
-    s.fall_multiple = c.rules().fall_multiple();
-    s.start_capacity = c.rules().start_capacity();
+    s.may_health_check = c.hosts().has_probe_path();
+    s.may_message_peers = s.instance_count > 1;
+    s.peer_messages_per_second = c.peers().messages_per_s();
+    s.load_report_mode = static_cast<LoadReportMode>(c.hosts().reports());
+    s.timer_tick = milliseconds(c.rules().tick_ms());
+    s.slow_start_window = milliseconds(c.rules().cold_ms());
+    s.overload_window = milliseconds(c.rules().fall_ms());
+    s.overload_factor = c.rules().fall_multiple();
+    s.initial_capacity_share = c.rules().start_capacity();
     s.cross_zone_cost = c.rules().cross_zone_cost();
     return s;
 }
 
-int class_index(const Config& config, std::string_view name, Effect effect) {
+int class_index(const Config& config, std::string_view name, Idempotency effect) {
     for (int i = 0; i < config.class__size(); ++i)
         if (config.class_(i).name() == name) return i * effects + static_cast<int>(effect);
     return -1;
 }
-const RequestClass& class_at(const Config& config, int index) { return config.class_(index / effects); }
+const RequestClass& class_at(const Config& config, int index) {
+    return config.class_(index / effects);
+}
 int plan_index(const Config& config, std::string_view name) {
     for (int i = 0; i < config.plan_size(); ++i)
         if (config.plan(i).name() == name) return i;
@@ -302,7 +320,8 @@
 
 openapi::Policy policy_of(const Config& config) {
     openapi::Policy policy;
-    for (const RequestClass& k : config.class_()) policy.classes.insert(k.name());
+    for (const RequestClass& k : config.class_())
+        policy.classes.insert(k.name());
     policy.reject_unpriced = !config.api().has_unpriced();
     policy.default_class = config.api().unpriced().class_();
     policy.default_units = config.api().unpriced().units();
@@ -312,7 +331,8 @@
 Accounts::Accounts(const Config& config) {
     for (const auto& a : config.account()) {
         accounts_.push_back({a.name(), plan_index(config, a.plan()), {}});
-        for (const std::string& key : a.key()) by_key_.emplace(key, accounts_.size() - 1);
+        for (const std::string& key : a.key())
+            by_key_.emplace(key, accounts_.size() - 1);
     }
 }
 AccountBook::Found Accounts::by_key(std::string_view key) {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -26,15 +26,18 @@
 };
 std::optional<Endpoint> parse_endpoint(std::string_view text);
 
-// Parses and checks; every problem found is appended, with file, line and field, and nothing returned.
-std::unique_ptr<Config> parse(std::string_view text, const std::string& file, std::vector<Problem>& problems);
+// Parses and checks; every problem found is appended, with file, line and field, and nothing
+// returned.
+std::unique_ptr<Config> parse(std::string_view text, const std::string& file,
+                              std::vector<Problem>& problems);
 
-// What the module is started with. A configured class becomes three of the module's, one for each effect,
-// since a route's effect comes from the description.
+// What the module is started with. A configured class becomes three of the module's, one for each
+// effect, since a route's effect comes from the description.
 Settings settings_of(const Config& config);
-int class_index(const Config& config, std::string_view name, Effect effect);  // below 0: unknown
-const RequestClass& class_at(const Config& config, int index);                // of a class_index
-int plan_index(const Config& config, std::string_view name);                  // below 0: unknown
+int class_index(const Config& config, std::string_view name,
+                Idempotency effect);                            // below 0: unknown
+const RequestClass& class_at(const Config& config, int index);  // of a class_index
+int plan_index(const Config& config, std::string_view name);    // below 0: unknown
 
 openapi::Policy policy_of(const Config& config);
 
--- a/src/decisions/repeat.h
+++ b/src/decisions/repeat.h
@@ -1,5 +1,6 @@
-// When a request that may have run may be sent again. Shared by the decision module, which chooses repeats,
-// and by the rules, which check each attempt again when its bytes go out. No I/O, no state.
+// When a request that may have run may be sent again. Shared by the decision module, which chooses
+// repeats, and by the rules, which check each attempt again when its bytes go out. No I/O, no
+// state.
 #pragma once
 
 #include <algorithm>
@@ -11,17 +12,18 @@
 // A process may be held up for so long between reading its clock and writing.
 constexpr Micros longest_hold_up{150'000};
 
-// Whether hosts still remember a keyed request whose first attempt that may have run was sent at `first`.
+// Whether hosts still remember a keyed request whose first attempt that may have run was sent at
+// `first`.
 inline bool repeat_window_open(const RequestClass& request_class, Micros first, Micros now) {
-    const Micros guard = std::min(longest_hold_up, request_class.repeat_window / 2);
-    return now - first < request_class.repeat_window - guard;
+    const Micros guard = std::min(longest_hold_up, request_class.deduplication_window / 2);
+    return now - first < request_class.deduplication_window - guard;
 }
 
 // Whether two hosts drop each other's repeats.
-inline bool same_repeat_group(RepeatScope scope, const std::string& zone, std::int64_t cell,
+inline bool same_repeat_group(DeduplicationScope scope, const std::string& zone, std::int64_t cell,
                               const std::string& other_zone, std::int64_t other_cell) {
-    if (scope == RepeatScope::zone) return zone == other_zone;
-    return scope == RepeatScope::all || cell == other_cell;
+    if (scope == DeduplicationScope::zone) return zone == other_zone;
+    return scope == DeduplicationScope::all || cell == other_cell;
 }
 
 }  // namespace silverreach
--- a/src/roster/endpoints.cpp
+++ b/src/discovery/endpoints.cpp
@@ -1,4 +1,4 @@
-#include "roster/endpoints.h"
+#include "discovery/endpoints.h"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-namespace silverreach::roster {
+namespace silverreach::discovery {
 namespace {
 using nlohmann::json;
 
@@ -36,7 +36,8 @@
         const json* port = socket ? member(*socket, "portValue", "port_value") : nullptr;
         if (ip.empty() || !port || !port->is_number_integer() || port->get<std::int64_t>() < 1 ||
             port->get<std::int64_t>() > 65535)
-            return problem(field, "socketAddress with an address and a portValue from 1 to 65535"), "";
+            return problem(field, "socketAddress with an address and a portValue from 1 to 65535"),
+                   "";
         const bool v6 = ip.find(':') != std::string::npos;
         return fmt::format("{}{}{}:{}", v6 ? "[" : "", ip, v6 ? "]" : "", port->get<int>());
     }
@@ -44,11 +45,11 @@
         Listed host;
         host.entry.zone = zone;
         const json* where = member(e, "endpoint", "endpoint");
-        host.entry.host =
-            address(where ? member(*where, "address", "address") : nullptr, field + ".endpoint.address");
-        if (host.entry.host.empty()) return;
-        if (!seen.insert(host.entry.host).second)
-            return problem(field, "each address once, not " + host.entry.host + " again");
+        host.entry.id = address(where ? member(*where, "address", "address") : nullptr,
+                                field + ".endpoint.address");
+        if (host.entry.id.empty()) return;
+        if (!seen.insert(host.entry.id).second)
+            return problem(field, "each address once, not " + host.entry.id + " again");
         if (const json* more = member(*where, "additionalAddresses", "additional_addresses");
             more && more->is_array())
             for (const json& a : *more)
@@ -56,9 +57,11 @@
                     address(member(a, "address", "address"), field + ".additionalAddresses"));
         const std::string health = text_or(member(e, "healthStatus", "health_status"), "UNKNOWN");
         if (health == "UNKNOWN" || health == "HEALTHY" || health == "DEGRADED")
-            host.entry.state = HostState::up;
-        else if (health == "DRAINING") host.entry.state = HostState::draining;
-        else if (health == "UNHEALTHY" || health == "TIMEOUT") host.entry.state = HostState::gone;
+            host.entry.status = EndpointStatus::available;
+        else if (health == "DRAINING")
+            host.entry.status = EndpointStatus::draining;
+        else if (health == "UNHEALTHY" || health == "TIMEOUT")
+            host.entry.status = EndpointStatus::removed;
         else
             return problem(field + ".healthStatus",
                            "HEALTHY, DRAINING, UNHEALTHY, TIMEOUT, DEGRADED or UNKNOWN");
@@ -68,15 +71,18 @@
             host.entry.weight = weight->get<double>();
         }
         const json* metadata = member(e, "metadata", "metadata");
-        const json* filters = metadata ? member(*metadata, "filterMetadata", "filter_metadata") : nullptr;
+        const json* filters =
+            metadata ? member(*metadata, "filterMetadata", "filter_metadata") : nullptr;
         const json* own = filters ? member(*filters, "silverreach", "silverreach") : nullptr;
         if (own) {
             host.entry.kind = text_or(member(*own, "kind", "kind"));
             const auto number = [&](const char* name, std::int64_t& out) {
                 const json* value = member(*own, name, name);
                 if (!value) return;
-                if (value->is_number()) out = static_cast<std::int64_t>(value->get<double>());
-                else problem(field + ".metadata." + name, "a number");
+                if (value->is_number())
+                    out = static_cast<std::int64_t>(value->get<double>());
+                else
+                    problem(field + ".metadata." + name, "a number");
             };
             number("cell", host.entry.cell);
             number("started_unix_ms", host.started_unix_ms);
@@ -114,7 +120,8 @@
         root = json::parse(text);
     } catch (const json::parse_error& error) {
         const auto upto = text.substr(0, std::min(text.size(), error.byte));
-        problems.push_back({source, 1 + static_cast<int>(std::count(upto.begin(), upto.end(), '\n')),
+        problems.push_back({source,
+                            1 + static_cast<int>(std::count(upto.begin(), upto.end(), '\n')),
                             "document", std::string("valid JSON: ") + error.what()});
         return false;
     }
@@ -124,7 +131,8 @@
         for (const json& r : resources->is_array() ? *resources : json::array())
             if (text_or(member(r, "clusterName", "cluster_name")) == cluster)
                 reader.assignment(r), found = true;
-        if (!found) reader.problem("resources", "a ClusterLoadAssignment of cluster '" + cluster + "'");
+        if (!found)
+            reader.problem("resources", "a ClusterLoadAssignment of cluster '" + cluster + "'");
     } else if (text_or(member(root, "clusterName", "cluster_name")) == cluster) {
         reader.assignment(root);
     } else {
@@ -141,18 +149,19 @@
         wall = started_unix_ms;
         const Micros age =
             std::chrono::milliseconds(std::max<std::int64_t>(0, unix_ms_now - started_unix_ms));
-        // A start before this clock's own beginning is long past, which 0 would say too; 1 keeps it a start.
+        // A start before this clock's own beginning is long past, which 0 would say too; 1 keeps it
+        // a start.
         const Micros before = placed;
         placed = std::max(now - age, Micros(1));
         if (placed == before) placed += Micros(1);  // another start all the same
     }
     return placed;
 }
-void StartTimes::keep_only(const std::vector<HostEntry>& hosts) {
+void StartTimes::keep_only(const std::vector<EndpointEntry>& hosts) {
     std::erase_if(known_, [&](const auto& k) {
         return std::none_of(hosts.begin(), hosts.end(),
-                            [&](const HostEntry& h) { return h.host == k.first; });
+                            [&](const EndpointEntry& h) { return h.id == k.first; });
     });
 }
 
-}  // namespace silverreach::roster
+}  // namespace silverreach::discovery
--- a/src/roster/roster.cpp
+++ b/src/discovery/roster.cpp
@@ -1,4 +1,4 @@
-#include "roster/roster.h"
+#include "discovery/roster.h"
 
 #include <fmt/format.h>
 #include <sys/time.h>
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-namespace silverreach::roster {
+namespace silverreach::discovery {
 namespace {
 using namespace std::chrono_literals;
 constexpr Micros file_period = 200ms, answer_due = 2s;
@@ -76,10 +76,11 @@
         parser_.next();
         body_.clear();
         waiting_ = true, asked_ = roster_.loop_.now();
-        stream_->write(fmt::format("POST /v3/discovery:endpoints HTTP/1.1\r\nHost: {}\r\nContent-Type: "
-                                   "application/json\r\nContent-Length: {}\r\n\r\n",
-                                   endpoint_.text(), text.size()) +
-                       text);
+        stream_->write(
+            fmt::format("POST /v3/discovery:endpoints HTTP/1.1\r\nHost: {}\r\nContent-Type: "
+                        "application/json\r\nContent-Length: {}\r\n\r\n",
+                        endpoint_.text(), text.size()) +
+            text);
     }
     void answered() {
         waiting_ = false;
@@ -108,7 +109,8 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-Roster::Roster(event::Loop& loop, const config::Config& config, const std::string& folder, Hooks hooks)
+Roster::Roster(event::Loop& loop, const config::Config& config, const std::string& folder,
+               Hooks hooks)
     : loop_(loop), config_(config), hooks_(std::move(hooks)) {
     if (config.hosts().has_discovery()) {
         asker_ = std::make_unique<Asker>(*this);
@@ -137,14 +139,15 @@
     if (!parse_endpoints(text, source, config_.hosts().cluster(), list, problems))
         return hooks_.bad(problems);
     version_ = list.version;
-    std::vector<HostEntry> entries;
+    std::vector<EndpointEntry> entries;
     const std::int64_t wall = unix_ms();
     for (Listed& host : list.hosts) {
-        host.entry.started = starts_.place(host.entry.host, host.started_unix_ms, loop_.now(), wall);
+        host.entry.started_at =
+            starts_.place(host.entry.id, host.started_unix_ms, loop_.now(), wall);
         entries.push_back(std::move(host.entry));
     }
     starts_.keep_only(entries);
     hooks_.changed(std::move(entries));
 }
 
-}  // namespace silverreach::roster
+}  // namespace silverreach::discovery
--- a/src/roster/roster.h
+++ b/src/discovery/roster.h
@@ -1,4 +1,5 @@
-// Follows the list of hosts: a watched file, or a discovery service asked again and again (xDS v3 REST-JSON).
+// Follows the list of hosts: a watched file, or a discovery service asked again and again (xDS v3
+// REST-JSON).
 #pragma once
 
 #include <functional>
@@ -6,18 +7,20 @@
 #include <string>
 
 #include "config/config.h"
+#include "discovery/endpoints.h"
 #include "event/stream.h"
 #include "http/parser.h"
-#include "roster/endpoints.h"
 
-namespace silverreach::roster {
+namespace silverreach::discovery {
 
 class Roster {
   public:
     struct Hooks {
-        std::function<void(std::vector<HostEntry>)> changed;            // the whole list, where it changed
-        std::function<void(const std::vector<openapi::Problem>&)> bad;  // a list that cannot be used
-        std::function<void(const std::string&)> unreachable;            // told once, until it answers again
+        std::function<void(std::vector<EndpointEntry>)>
+            changed;  // the whole list, where it changed
+        std::function<void(const std::vector<openapi::Problem>&)>
+            bad;                                              // a list that cannot be used
+        std::function<void(const std::string&)> unreachable;  // told once, until it answers again
     };
     // `folder` is what a relative file name starts from.
     Roster(event::Loop& loop, const config::Config& config, const std::string& folder, Hooks hooks);
@@ -38,4 +41,4 @@
     std::unique_ptr<Asker> asker_;
 };
 
-}  // namespace silverreach::roster
+}  // namespace silverreach::discovery
--- a/src/roster/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -1,4 +1,4 @@
-#include "roster/watch.h"
+#include "discovery/watch.h"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 
 #include "platform/object_reader.h"
 
-namespace silverreach::roster {
+namespace silverreach::discovery {
 // One watch on one connection.
 class Watch::Following : public event::StreamOwner, public http::Parser::Events {
   public:
@@ -19,8 +19,8 @@
           begun_(heard_) {
         const std::string since =
             watch.whole_ || watch.revision_ < 0 ? "" : fmt::format("&since={}", watch.revision_);
-        stream_.write(fmt::format("GET /v1/endpoints?follow=1{} HTTP/1.1\r\nHost: {}\r\n\r\n", since,
-                                  watch.at_.text()));
+        stream_.write(fmt::format("GET /v1/endpoints?follow=1{} HTTP/1.1\r\nHost: {}\r\n\r\n",
+                                  since, watch.at_.text()));
     }
     void close() { stream_.close(), over_ = true; }
     // Life is an empty line or a whole object; bytes that never make one are none.
@@ -46,9 +46,12 @@
         while (!over_ && !bytes.empty()) {
             const bool between = objects_.between();
             const auto got = objects_.look(bytes);
-            if (got == platform::ObjectReader::Got::broken) return unreadable(std::string(objects_.why()));
-            if (got == platform::ObjectReader::Got::whole) take(objects_.take());
-            else if (between && objects_.between()) heard_ = watch_.loop_.now();
+            if (got == platform::ObjectReader::Got::broken)
+                return unreadable(std::string(objects_.why()));
+            if (got == platform::ObjectReader::Got::whole)
+                take(objects_.take());
+            else if (between && objects_.between())
+                heard_ = watch_.loop_.now();
         }
     }
     void on_message_end(http::Fields&) override {}
@@ -85,7 +88,8 @@
     bool over_ = false, spoke_ = false;
 };
 
-Watch::Watch(event::Loop& loop, config::Endpoint at, std::int64_t revision, Hooks hooks, Times times)
+Watch::Watch(event::Loop& loop, config::Endpoint at, std::int64_t revision, Hooks hooks,
+             Times times)
     : loop_(loop),
       at_(std::move(at)),
       revision_(revision),
@@ -108,8 +112,8 @@
     follow();
 }
 
-// An older revision, or a list of nobody. Taken where the service says the same when it is asked for the
-// whole.
+// An older revision, or a list of nobody. Taken where the service says the same when it is asked
+// for the whole.
 bool Watch::doubtful(const platform::TargetList& list) {
     const bool odd = list.revision < revision_ || (list.whole && list.targets.empty());
     const bool again = list.whole && doubted_ == list.revision;
@@ -131,8 +135,8 @@
     now_ = std::make_unique<Following>(*this, std::move(fd));
 }
 
-// One that has told for a while is followed by the next at once; else the waits grow, so that a service that
-// ends each watch is not called without a pause.
+// One that has told for a while is followed by the next at once; else the waits grow, so that a
+// service that ends each watch is not called without a pause.
 void Watch::lost(const std::string& why, bool lived) {
     if (!std::exchange(told_, true)) hooks_.lost(at_.text() + ": " + why);
     const Micros wait = lived ? Micros(0) : wait_;
@@ -149,7 +153,8 @@
         old_.reset();
         if (now_ && now_->silent(loop_.now())) {
             const bool lived = now_->lived(loop_.now());
-            // A slow service may need longer; one that is gone costs no more than a call in that time.
+            // A slow service may need longer; one that is gone costs no more than a call in that
+            // time.
             if (!now_->spoke()) first_ = std::min(first_ * 2, times_.first_most);
             now_->close();
             old_ = std::move(now_);
@@ -159,4 +164,4 @@
     });
 }
 
-}  // namespace silverreach::roster
+}  // namespace silverreach::discovery
--- a/src/event/arrival_log.h
+++ b/src/event/arrival_log.h
@@ -1,5 +1,6 @@
-// When the bytes of a connection that wait to be read by their protocol came. Bytes that came within a moment
-// share an entry, with the earlier time, so its size goes with time, not with bytes.
+// When the bytes of a connection that wait to be read by their protocol came. Bytes that came
+// within a moment share an entry, with the earlier time, so its size goes with time, not with
+// bytes.
 #pragma once
 
 #include <chrono>
@@ -14,10 +15,13 @@
   public:
     void add(std::size_t bytes, Micros at) {
         received_ += bytes;
-        if (!entries_.empty() && at - entries_.back().at < together) entries_.back().upto = received_;
-        else entries_.push_back({received_, at});
+        if (!entries_.empty() && at - entries_.back().at < together)
+            entries_.back().upto = received_;
+        else
+            entries_.push_back({received_, at});
     }
-    // When the byte came that stands `offset` behind those taken, counted from 1; `otherwise` where none did.
+    // When the byte came that stands `offset` behind those taken, counted from 1; `otherwise` where
+    // none did.
     Micros of(std::size_t offset, Micros otherwise) const {
         for (const Entry& entry : entries_)
             if (entry.upto >= taken_ + offset) return entry.at;
@@ -25,7 +29,8 @@
     }
     void take(std::size_t bytes) {
         taken_ += bytes;
-        while (!entries_.empty() && entries_.front().upto <= taken_) entries_.pop_front();
+        while (!entries_.empty() && entries_.front().upto <= taken_)
+            entries_.pop_front();
     }
     void take_all() { take(static_cast<std::size_t>(received_ - taken_)); }
 
--- a/src/event/background.h
+++ b/src/event/background.h
@@ -1,4 +1,5 @@
-// Work that takes longer than a turn of the loop may: done on a thread, its result taken on the loop.
+// Work that takes longer than a turn of the loop may: done on a thread, its result taken on the
+// loop.
 #pragma once
 
 #include <functional>
@@ -9,8 +10,8 @@
 
 namespace silverreach::event {
 
-// One piece of work at a time. `work` must share nothing with the loop's thread; `taken` is called on the
-// loop, and not at all once this has gone.
+// One piece of work at a time. `work` must share nothing with the loop's thread; `taken` is called
+// on the loop, and not at all once this has gone.
 class Background {
   public:
     explicit Background(Loop& loop);
--- a/src/event/graveyard.h
+++ b/src/event/graveyard.h
@@ -1,5 +1,5 @@
-// Where objects go that may be in the middle of a call of their own: they are destroyed at the loop's next
-// turn, or with this.
+// Where objects go that may be in the middle of a call of their own: they are destroyed at the
+// loop's next turn, or with this.
 #pragma once
 
 #include <memory>
--- a/src/event/listener.cpp
+++ b/src/event/listener.cpp
@@ -22,10 +22,12 @@
 constexpr Micros shortage_lasts = 1s;      // until a connection without a word is closed for it
 constexpr Micros stop_most = 2s;           // for the last look at the queue
 
-Fd open_spare() { return Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
+Fd open_spare() {
+    return Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC));
+}
 
-// No connection comes up any more, and those in the queue stay: without this one that comes up between the
-// last look and the close is reset. Where the system refuses it, that moment stays.
+// No connection comes up any more, and those in the queue stay: without this one that comes up
+// between the last look and the close is reset. Where the system refuses it, that moment stays.
 void let_nothing_come_up(int fd) {
     sock_filter drop_all{BPF_RET | BPF_K, 0, 0, 0};
     const sock_fprog program{1, &drop_all};
@@ -66,8 +68,8 @@
                    std::function<void(Fd, std::string)> accepted)
     : loop_(loop), spare_(open_spare()), room_(std::move(room)), accepted_(std::move(accepted)) {
     const auto fail = [&](const char* what) {
-        throw SystemRefused("listening on " + ip + " port " + std::to_string(port) + ": " + what + ": " +
-                            std::strerror(errno));
+        throw SystemRefused("listening on " + ip + " port " + std::to_string(port) + ": " + what +
+                            ": " + std::strerror(errno));
     };
     fd_ = Fd(::socket(v6 ? AF_INET6 : AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!fd_) fail("socket");
@@ -97,7 +99,8 @@
 // Bounded, as where the filter is refused more may go on coming.
 void Listener::take_rest() {
     Took took = Took::some;
-    for (int turn = 0; turn < SOMAXCONN / accepts_a_turn && took == Took::some; ++turn) took = accept_some();
+    for (int turn = 0; turn < SOMAXCONN / accepts_a_turn && took == Took::some; ++turn)
+        took = accept_some();
     if (took == Took::none && loop_.now() < stop_by_) {
         loop_.after(retry_period, [this, alive = std::weak_ptr<bool>(alive_)] {
             if (!alive.expired()) take_rest();
@@ -133,12 +136,13 @@
     if (room_()) accepted_(std::move(fd), std::move(client));
 }
 
-// The queue keeps what waits. A shortage of a moment is waited for; in one that lasts something idle goes
-// first, and only then a connection that has said nothing.
+// The queue keeps what waits. A shortage of a moment is waited for; in one that lasts something
+// idle goes first, and only then a connection that has said nothing.
 Listener::Took Listener::accept_failed(int error) {
     unwatched_since_ = waiting_since_;
     relieve(error);
-    // accept fails for want of a descriptor though nobody waits: what comes next has come since now.
+    // accept fails for want of a descriptor though nobody waits: what comes next has come since
+    // now.
     if (!somebody_waits(fd_.get())) unwatched_since_ = loop_.now();
     return Took::none;
 }
@@ -157,7 +161,8 @@
     spare_.reset();
     SocketAddress from;
     Fd fd(::accept4(fd_.get(), from.get(), &from.size, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (fd && has_bytes(fd.get())) return take(std::move(fd), from.ip());  // in the spare one's place
+    if (fd && has_bytes(fd.get()))
+        return take(std::move(fd), from.ip());  // in the spare one's place
     fd.reset();
     spare_ = open_spare();
 }
--- a/src/event/listener.h
+++ b/src/event/listener.h
@@ -1,5 +1,5 @@
-// A listening socket. It takes connections as long as its owner has room, and through moments in which accept
-// fails: none that waits in the system's queue is given up for an error that passes.
+// A listening socket. It takes connections as long as its owner has room, and through moments in
+// which accept fails: none that waits in the system's queue is given up for an error that passes.
 #pragma once
 
 #include <functional>
@@ -12,8 +12,8 @@
 
 class Listener {
   public:
-    // `accepted` gets each connection and the other side's address; while `room` returns false connections
-    // are closed at once. Throws std::runtime_error with a plain message.
+    // `accepted` gets each connection and the other side's address; while `room` returns false
+    // connections are closed at once. Throws std::runtime_error with a plain message.
     Listener(Loop& loop, const std::string& ip, int port, bool v6, std::function<bool()> room,
              std::function<void(Fd, std::string)> accepted);
     ~Listener();
@@ -21,16 +21,23 @@
     Listener& operator=(const Listener&) = delete;
 
     // Asked where descriptors stay short: gives up something idle; false where there is nothing.
-    void on_shortage(std::function<bool()> give_up_idle) { give_up_idle_ = std::move(give_up_idle); }
+    void on_shortage(std::function<bool()> give_up_idle) {
+        give_up_idle_ = std::move(give_up_idle);
+    }
     // Within `accepted`: since when the connection may have waited, with what its client wrote.
     Micros waiting_since() const { return waiting_since_; }
     int port() const { return port_; }
-    // Lets no new connection come up, takes those that have, again for a while where that fails, then closes.
+    // Lets no new connection come up, takes those that have, again for a while where that fails,
+    // then closes.
     void stop();
     bool listening() const { return static_cast<bool>(fd_); }
 
   private:
-    enum class Took { all, some, none };  // none: accept fails, for now
+    enum class Took {
+        all,
+        some,
+        none
+    };  // none: accept fails, for now
     Took accept_some();
     Took accept_failed(int error);
     void take(Fd fd, std::string client);
--- a/src/event/loop.cpp
+++ b/src/event/loop.cpp
@@ -10,8 +10,10 @@
 namespace silverreach::event {
 namespace {
 using namespace std::chrono_literals;
-double seconds(Micros t) { return static_cast<double>(t.count()) / 1e6; }
-constexpr Micros no_wait = 1ms;      // a wait shorter than this found what was ready before it began
+double seconds(Micros t) {
+    return static_cast<double>(t.count()) / 1e6;
+}
+constexpr Micros no_wait = 1ms;  // a wait shorter than this found what was ready before it began
 constexpr Micros watch_again = 5ms;  // after the system refused to watch a descriptor
 constexpr timespec failed_wait{0, 1'000'000};
 constexpr Micros held_up = 20ms;  // over the time for which a timer asked: the process did not run
@@ -23,16 +25,19 @@
     if (!loop_) throw SystemRefused("event loop: the system offers no way to wait for sockets");
     now_ = wait_ended_ = ready_since_ = clock();
     ev_timer_init(
-        &timer_, [](struct ev_loop*, ev_timer* t, int) { static_cast<Loop*>(t->data)->fire(); }, 0, 0);
+        &timer_, [](struct ev_loop*, ev_timer* t, int) { static_cast<Loop*>(t->data)->fire(); }, 0,
+        0);
     timer_.data = this;
     // After the loop has slept the time is read again, once.
-    ev_prepare_init(&prepare_,
-                    [](struct ev_loop*, ev_prepare* p, int) { static_cast<Loop*>(p->data)->before_wait(); });
+    ev_prepare_init(&prepare_, [](struct ev_loop*, ev_prepare* p, int) {
+        static_cast<Loop*>(p->data)->before_wait();
+    });
     prepare_.data = this;
     ev_prepare_start(loop_, &prepare_);
     ev_unref(loop_);
-    ev_check_init(&check_,
-                  [](struct ev_loop*, ev_check* c, int) { static_cast<Loop*>(c->data)->after_wait(); });
+    ev_check_init(&check_, [](struct ev_loop*, ev_check* c, int) {
+        static_cast<Loop*>(c->data)->after_wait();
+    });
     check_.data = this;
     ev_set_priority(&check_, EV_MAXPRI);
     ev_check_start(loop_, &check_);
@@ -46,8 +51,12 @@
     ev_prepare_stop(loop_, &prepare_);
     ev_loop_destroy(loop_);
 }
-void Loop::run() { ev_run(loop_, 0); }
-void Loop::stop() { ev_break(loop_, EVBREAK_ALL); }
+void Loop::run() {
+    ev_run(loop_, 0);
+}
+void Loop::stop() {
+    ev_break(loop_, EVBREAK_ALL);
+}
 
 Micros Loop::clock() {
     timespec t{};
@@ -70,9 +79,12 @@
     const bool at_once = wait_ended_ - wait_began_ < no_wait;
     const bool late = armed_ != Micros(0) && wait_ended_ > std::max(armed_, wait_began_) + held_up;
     if (late) ready_since_ = wait_began_;
-    // A stop ends the wait as a signal does, without a look: the next one finds what came meanwhile.
-    else if (at_once && !was_late_) ready_since_ = last_wait_ended;
-    else if (!at_once) ready_since_ = wait_ended_;
+    // A stop ends the wait as a signal does, without a look: the next one finds what came
+    // meanwhile.
+    else if (at_once && !was_late_)
+        ready_since_ = last_wait_ended;
+    else if (!at_once)
+        ready_since_ = wait_ended_;
     was_late_ = late;
     if (each_turn_) each_turn_();
 }
@@ -111,23 +123,28 @@
         &io_,
         [](struct ev_loop*, ev_io* w, int got) {
             Io& io = *static_cast<Io*>(w->data);
-            if (got & EV_ERROR) io.failed();
-            else io.call_(got);
+            if (got & EV_ERROR)
+                io.failed();
+            else
+                io.call_(got);
         },
         fd, 0);
-    // Before timers of the same turn: after a stall what has come is read before anybody is found silent.
+    // Before timers of the same turn: after a stall what has come is read before anybody is found
+    // silent.
     ev_set_priority(&io_, 1);
     io_.data = this;
 }
-// The system would not watch it (no memory, too many watches), and libev has given the watch up. What its
-// owner wants is asked for again a moment later, as nothing else would ever wake it.
+// The system would not watch it (no memory, too many watches), and libev has given the watch up.
+// What its owner wants is asked for again a moment later, as nothing else would ever wake it.
 void Io::failed() {
     const int wanted = std::exchange(interest_, none);
     loop_.after(watch_again, [this, wanted, alive = std::weak_ptr<bool>(alive_)] {
         if (!alive.expired() && interest_ == none) want(wanted);
     });
 }
-Io::~Io() { ev_io_stop(loop_.raw(), &io_); }
+Io::~Io() {
+    ev_io_stop(loop_.raw(), &io_);
+}
 void Io::want(int interest) {
     if (interest == interest_) return;
     ev_io_stop(loop_.raw(), &io_);
--- a/src/event/loop.h
+++ b/src/event/loop.h
@@ -30,15 +30,17 @@
 
     void run();
     void stop();
-    // Monotonic; read once for each turn of the loop, so all that happens in one turn happens at one time.
+    // Monotonic; read once for each turn of the loop, so all that happens in one turn happens at
+    // one time.
     Micros now() const;
     static Micros clock();  // the same clock, read afresh
-    // The earliest moment at which what this turn found ready may have become so, if it was watched in the
-    // turn before. While the loop waits something ready wakes it, so that is now; what became ready while the
-    // last turn was at work, or while the process was held up, may be older.
+    // The earliest moment at which what this turn found ready may have become so, if it was watched
+    // in the turn before. While the loop waits something ready wakes it, so that is now; what
+    // became ready while the last turn was at work, or while the process was held up, may be older.
     Micros ready_since() const { return ready_since_; }
     std::uint64_t turn() const { return turn_; }  // counts the waits
-    // Calls once, `wait` from now. A timer cannot be taken back: its owner checks whether it still matters.
+    // Calls once, `wait` from now. A timer cannot be taken back: its owner checks whether it still
+    // matters.
     void after(Micros wait, std::function<void()> call);
     struct ev_loop* raw() const {
         return loop_;
@@ -71,7 +73,11 @@
     std::function<void()> each_turn_;
 };
 
-enum Interest { none = 0, readable = EV_READ, writable = EV_WRITE };
+enum Interest {
+    none = 0,
+    readable = EV_READ,
+    writable = EV_WRITE
+};
 
 // Watches one descriptor, which its owner closes. Stable in memory while it lives.
 class Io {
@@ -91,8 +97,8 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// Calls when a file's content may have changed; looks once in `period`. (libev's own watcher compares whole
-// seconds.)
+// Calls when a file's content may have changed; looks once in `period`. (libev's own watcher
+// compares whole seconds.)
 class FileWatch {
   public:
     FileWatch(Loop& loop, std::string path, Micros period, std::function<void()> call);
--- a/src/event/signal.cpp
+++ b/src/event/signal.cpp
@@ -49,7 +49,8 @@
     void call_those_that_came() {
         for (auto it = calls.begin(); it != calls.end();) {
             const auto next = std::next(it);
-            if (came[static_cast<std::size_t>(it->first)].exchange(false)) loop_.after(Micros(0), it->second);
+            if (came[static_cast<std::size_t>(it->first)].exchange(false))
+                loop_.after(Micros(0), it->second);
             it = next;
         }
     }
--- a/src/event/signal.h
+++ b/src/event/signal.h
@@ -1,6 +1,6 @@
-// Signals as calls on the loop. A handler notes the signal and wakes the loop; each turn looks at the notes,
-// so that none is missed where the waking fails. One object for a signal at a time, and one loop for all of
-// them.
+// Signals as calls on the loop. A handler notes the signal and wakes the loop; each turn looks at
+// the notes, so that none is missed where the waking fails. One object for a signal at a time, and
+// one loop for all of them.
 #pragma once
 
 #include <functional>
--- a/src/event/socket_address.cpp
+++ b/src/event/socket_address.cpp
@@ -23,8 +23,11 @@
 std::string SocketAddress::ip() const {
     char text[INET6_ADDRSTRLEN] = "";
     if (storage.ss_family == AF_INET6)
-        inet_ntop(AF_INET6, &reinterpret_cast<const sockaddr_in6&>(storage).sin6_addr, text, sizeof text);
-    else inet_ntop(AF_INET, &reinterpret_cast<const sockaddr_in&>(storage).sin_addr, text, sizeof text);
+        inet_ntop(AF_INET6, &reinterpret_cast<const sockaddr_in6&>(storage).sin6_addr, text,
+                  sizeof text);
+    else
+        inet_ntop(AF_INET, &reinterpret_cast<const sockaddr_in&>(storage).sin_addr, text,
+                  sizeof text);
     return text;
 }
 
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -23,7 +23,8 @@
 }
 // The call did nothing and says nothing of the connection: it can be made again.
 bool retry_later(int error) {
-    return error == EAGAIN || error == EWOULDBLOCK || error == EINTR || error == ENOMEM || error == ENOBUFS;
+    return error == EAGAIN || error == EWOULDBLOCK || error == EINTR || error == ENOMEM ||
+           error == ENOBUFS;
 }
 }  // namespace
 
@@ -49,13 +50,16 @@
 void Stream::read(bool on) {
     if (reading_ && !on && unwatched_since_ == 0us) unwatched_since_ = loop_.now();
     // Nothing has come while nobody looked: as if the loop had.
-    if (!reading_ && !closed() && unwatched_since_ != 0us && !unread()) unwatched_since_ = loop_.now();
+    if (!reading_ && !closed() && unwatched_since_ != 0us && !unread())
+        unwatched_since_ = loop_.now();
     if (!reading_ && on) watched_from_turn_ = loop_.turn() + 1;
     reading_ = on;
     interest();
 }
 
-void Stream::write(std::string_view bytes) { write({bytes}); }
+void Stream::write(std::string_view bytes) {
+    write({bytes});
+}
 void Stream::write(std::initializer_list<std::string_view> pieces) {
     if (closed() || ended_) return;
     std::size_t done = 0;
@@ -67,7 +71,8 @@
             if (!piece.empty() && message.msg_iovlen < most_pieces)
                 parts[message.msg_iovlen++] = {const_cast<char*>(piece.data()), piece.size()};
         const ssize_t n = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
-        // An error shows again at the next turn, where the owner can be told without being in its own call.
+        // An error shows again at the next turn, where the owner can be told without being in its
+        // own call.
         done = n > 0 ? static_cast<std::size_t>(n) : 0;
     }
     for (const std::string_view piece : pieces) {
@@ -109,8 +114,8 @@
     owner_.on_end();
 }
 
-// The first turn that watches again finds what came while nobody did; a later one only what came since the
-// last.
+// The first turn that watches again finds what came while nobody did; a later one only what came
+// since the last.
 void Stream::note_arrival(bool all_taken) {
     const bool unwatched = unwatched_since_ != 0us && loop_.turn() <= watched_from_turn_;
     arrived_ = unwatched ? unwatched_since_ : loop_.ready_since();
--- a/src/event/stream.h
+++ b/src/event/stream.h
@@ -11,8 +11,8 @@
 
 namespace silverreach::event {
 
-// What a connection tells its owner. The owner may close the stream in any of these, and destroys it later
-// only (Loop::after): a stream does not go while it calls.
+// What a connection tells its owner. The owner may close the stream in any of these, and destroys
+// it later only (Loop::after): a stream does not go while it calls.
 class StreamOwner {
   public:
     virtual ~StreamOwner() = default;
@@ -65,7 +65,8 @@
     std::uint64_t watched_from_turn_ = 0;  // the loop looks from this turn on
 };
 
-// The error tells of a want on this machine (descriptors, memory, ports, a route), not of the other side.
+// The error tells of a want on this machine (descriptors, memory, ports, a route), not of the other
+// side.
 bool local_shortage(int error);
 // A connecting socket, not blocking; an invalid one and `error` where the system refuses at once.
 Fd connect_to(const std::string& ip, int port, bool v6, int& error);
--- a/src/event/system_random.h
+++ b/src/event/system_random.h
@@ -1,5 +1,6 @@
-// Random numbers of the system's own source, for names that nobody may guess. Holds a page of them, so that
-// most calls cost no system call. Not to be copied: two copies would name two requests alike.
+// Random numbers of the system's own source, for names that nobody may guess. Holds a page of them,
+// so that most calls cost no system call. Not to be copied: two copies would name two requests
+// alike.
 #pragma once
 
 #include <array>
--- a/src/event/token_timers.h
+++ b/src/event/token_timers.h
@@ -1,5 +1,6 @@
-// Very many short timers that carry a number: a ring of one-millisecond slots, so that starting and firing
-// one costs the same however many there are. A timer fires at its time or up to a millisecond later.
+// Very many short timers that carry a number: a ring of one-millisecond slots, so that starting and
+// firing one costs the same however many there are. A timer fires at its time or up to a
+// millisecond later.
 #pragma once
 
 #include <array>
--- a/src/fronts/http/connection.cpp
+++ b/src/frontend/http/connection.cpp
@@ -1,8 +1,8 @@
-#include "fronts/http/connection.h"
+#include "frontend/http/connection.h"
 
 #include <fmt/format.h>
 
-namespace silverreach::fronts::http {
+namespace silverreach::frontend::http {
 namespace {
 using namespace std::chrono_literals;
 using std::chrono::milliseconds;
@@ -12,8 +12,8 @@
 constexpr Micros linger_for = 1s, watch_period = 250ms;
 
 wire::HeadLimits limits_of(const config::Listen& l) {
-    return {static_cast<std::size_t>(l.max_target_bytes()), static_cast<std::size_t>(l.max_head_bytes()),
-            100};
+    return {static_cast<std::size_t>(l.max_target_bytes()),
+            static_cast<std::size_t>(l.max_head_bytes()), 100};
 }
 }  // namespace
 
@@ -26,7 +26,8 @@
     watch_time();
 }
 
-// ---- bytes in --------------------------------------------------------------------------------------------
+// ---- bytes in
+// --------------------------------------------------------------------------------------------
 
 void Front::Connection::on_data(std::string_view bytes) {
     if (state_ == State::lingering || state_ == State::gone) return;
@@ -58,8 +59,10 @@
         const std::size_t taken = feed(bytes);
         if (state_ == State::lingering || state_ == State::gone) return;
         pending_.assign(bytes, taken);
-        if (whole_) take();
-        else if (taken == 0) break;
+        if (whole_)
+            take();
+        else if (taken == 0)
+            break;
     }
     if (state_ == State::gone) return;
     if (pending_.size() <= most_pending && state_ != State::lingering) stream_.read(true);
@@ -85,8 +88,9 @@
     if (auto refusal = front_.resolver_.resolve(r.head, *r.description, r.resolved))
         return refuse(*refusal, "bad-request");
     if (r.resolved.account && !front_.hooks_.served_here(*r.resolved.account))
-        return refuse({421, "Not of this instance", "the account is served by other instances", {}, false},
-                      "misdirected");
+        return refuse(
+            {421, "Not of this instance", "the account is served by other instances", {}, false},
+            "misdirected");
     const auto most = static_cast<std::uint64_t>(front_.config_.listen().max_body_bytes());
     if (r.head.has_length && r.head.length > most)
         return refuse({413, "Body too large", fmt::format("{} bytes at most", most), {}, false},
@@ -108,7 +112,8 @@
     const auto most = static_cast<std::size_t>(front_.config_.listen().max_body_bytes());
     if (request_->body.size() + bytes.size() > most)
         return answer_myself(
-            own_answer(Refusal{413, "Body too large", fmt::format("{} bytes at most", most), {}, false}),
+            own_answer(
+                Refusal{413, "Body too large", fmt::format("{} bytes at most", most), {}, false}),
             "bad-request");
     request_->body.append(bytes);
 }
@@ -123,10 +128,12 @@
         request_->begun = since_;
     }
     request_->side.keep_alive = false;
-    answer_myself(
-        own_answer(Refusal{
-            fault.status, std::string(wire::reason_phrase(fault.status)), std::string(fault.why), {}, false}),
-        "bad-request");
+    answer_myself(own_answer(Refusal{fault.status,
+                                     std::string(wire::reason_phrase(fault.status)),
+                                     std::string(fault.why),
+                                     {},
+                                     false}),
+                  "bad-request");
 }
 
 // The whole request is here: the core takes it.
@@ -135,22 +142,27 @@
     Request& r = *request_;
     state_ = State::in_hand;
     const Micros now = front_.loop_.now();
-    r.out = std::make_shared<upstream::OutRequest>();
-    r.out->head = head_for_host(r.head, r.resolved.path, r.identity, client_, front_.via_, r.body.size());
+    r.out = std::make_shared<upstream_http::OutRequest>();
+    r.out->head =
+        head_for_host(r.head, r.resolved.path, r.identity, client_, front_.via_, r.body.size());
     r.out->body = std::move(r.body);
     r.out->head_method = r.side.to_head;
     const auto& account = r.resolved.account;
-    const core::Try t{account ? account->name : anonymous_account(client_),
-                      account ? account->plan : front_.anonymous_plan_, r.resolved.request_class,
-                      r.resolved.units, r.resolved.deadline - (now - r.begun)};
+    const core::ClientRequest t{account ? account->name : anonymous_account(client_),
+                                account ? account->plan : front_.anonymous_plan_,
+                                r.resolved.request_class, r.resolved.units,
+                                r.resolved.deadline - (now - r.begun)};
     r.id = front_.core_.next_id();
     front_.by_id_[r.id] = this;
-    front_.core_.take(now, r.id, t);
+    front_.core_.start_request(now, r.id, t);
 }
 
-std::shared_ptr<const upstream::OutRequest> Front::Connection::out_request() const { return request_->out; }
+std::shared_ptr<const upstream_http::OutRequest> Front::Connection::out_request() const {
+    return request_->out;
+}
 
-// ---- answers out -----------------------------------------------------------------------------------------
+// ---- answers out
+// -----------------------------------------------------------------------------------------
 
 void Front::Connection::answer_myself(const OwnAnswer& answer, std::string_view reason) {
     Request& r = *request_;
@@ -162,7 +174,7 @@
     message_over();
 }
 
-void Front::Connection::finish(const core::Final& answer) {
+void Front::Connection::finish(const core::FinalResponse& answer) {
     if (state_ != State::in_hand) return;
     const OwnAnswer own = own_answer(answer);
     answer_myself(own, own.type);
@@ -231,15 +243,16 @@
     if (!keep) return linger();
     state_ = State::reading;
     parser_.next();
-    // Not from within the call that brought the answer: a client could otherwise nest requests without end.
+    // Not from within the call that brought the answer: a client could otherwise nest requests
+    // without end.
     if (!pending_.empty() || half_closed_)
         front_.loop_.after(0us, [this, alive = std::weak_ptr<bool>(alive_)] {
             if (!alive.expired() && state_ == State::reading) advance();
         });
 }
 
-// After a last answer the rest of what the client sends is read and dropped for a while: closing at once
-// would break the connection and could take the answer with it.
+// After a last answer the rest of what the client sends is read and dropped for a while: closing at
+// once would break the connection and could take the answer with it.
 void Front::Connection::linger() {
     state_ = State::lingering;
     pending_.clear();
@@ -248,7 +261,8 @@
     if (half_closed_ && stream_.queued() == 0) go();
 }
 
-// ---- the client's end ------------------------------------------------------------------------------------
+// ---- the client's end
+// ------------------------------------------------------------------------------------
 
 void Front::Connection::on_end() {
     half_closed_ = true;
@@ -280,7 +294,7 @@
     note(request_->status, "left");
     front_.by_id_.erase(id);
     state_ = State::lingering;  // whatever comes back finds nobody
-    front_.core_.client_left(front_.loop_.now(), id);
+    front_.core_.on_client_disconnected(front_.loop_.now(), id);
 }
 
 void Front::Connection::go() {
@@ -300,16 +314,20 @@
     return begun || stream_.queued() > 0 || stream_.unread();
 }
 
-// ---- time ------------------------------------------------------------------------------------------------
+// ---- time
+// ------------------------------------------------------------------------------------------------
 
-// One look now and then rather than a timer for each wait: ten thousand idle clients cost nothing in between.
+// One look now and then rather than a timer for each wait: ten thousand idle clients cost nothing
+// in between.
 void Front::Connection::watch_time() {
     const Micros now = front_.loop_.now();
     const config::Listen& l = front_.config_.listen();
     const bool partial = state_ == State::reading && (in_body_ || !parser_.idle());
-    if (state_ == State::reading && !partial && now - since_ >= milliseconds(l.idle_ms())) return go();
+    if (state_ == State::reading && !partial && now - since_ >= milliseconds(l.idle_ms()))
+        return go();
     if (partial && now - since_ >= milliseconds(in_body_ ? l.body_ms() : l.head_ms()))
-        on_fault({408, in_body_ ? "the body did not come in time" : "the head did not come in time"});
+        on_fault(
+            {408, in_body_ ? "the body did not come in time" : "the head did not come in time"});
     if (state_ == State::lingering && now - since_ >= linger_for) return go();
     const bool stuck = stream_.queued() > 0 && now - progress_ >= milliseconds(l.stalled_ms());
     if (state_ == State::answering && stuck) {
@@ -342,4 +360,4 @@
     front_.hooks_.record(record);
 }
 
-}  // namespace silverreach::fronts::http
+}  // namespace silverreach::frontend::http
--- a/src/fronts/http/connection.h
+++ b/src/frontend/http/connection.h
@@ -1,24 +1,24 @@
 // One client's connection: one request after another, answered in their order.
 //
-// States:  reading -> in hand -> answering -> reading ...   or, after an answer that ends it, lingering ->
-// gone
+// States:  reading -> in hand -> answering -> reading ...   or, after an answer that ends it,
+// lingering -> gone
 #pragma once
 
 #include "event/arrival_log.h"
-#include "fronts/http/front.h"
+#include "frontend/http/front.h"
 
-namespace silverreach::fronts::http {
+namespace silverreach::frontend::http {
 
 class Front::Connection : public event::StreamOwner, public wire::Parser::Events {
   public:
     Connection(Front& front, event::Fd fd, std::string client, Micros waiting_since);
 
-    void finish(const core::Final& answer);
+    void finish(const core::FinalResponse& answer);
     void cut();
     void answer_begins(const std::string& host, wire::Head& head, std::function<void(bool)> pause);
     void answer_body(std::string_view bytes);
     void answer_ended(bool whole, const wire::Fields& trailers);
-    std::shared_ptr<const upstream::OutRequest> out_request() const;
+    std::shared_ptr<const upstream_http::OutRequest> out_request() const;
     void look_for_client();  // its end may stand behind bytes that were not read
     bool owes() const;       // an answer, its last bytes, or a look at what has come
 
@@ -33,7 +33,13 @@
     void on_fault(const wire::Fault& fault) override;
 
   private:
-    enum class State { reading, in_hand, answering, lingering, gone };
+    enum class State {
+        reading,
+        in_hand,
+        answering,
+        lingering,
+        gone
+    };
     void take();
     void advance();
     std::size_t feed(std::string_view bytes);
@@ -64,7 +70,7 @@
         Resolved resolved;
         Identity identity;
         std::string body;
-        std::shared_ptr<upstream::OutRequest> out;
+        std::shared_ptr<upstream_http::OutRequest> out;
         ClientSide side;
         Micros begun{0};
         RequestId id = 0;
@@ -75,7 +81,8 @@
         bool paused = false, body_read = false;
     };
     std::unique_ptr<Request> request_;
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for timers that outlive the connection
+    std::shared_ptr<bool> alive_ =
+        std::make_shared<bool>(true);  // for timers that outlive the connection
 };
 
-}  // namespace silverreach::fronts::http
+}  // namespace silverreach::frontend::http
--- a/src/fronts/http/front.cpp
+++ b/src/frontend/http/front.cpp
@@ -1,17 +1,17 @@
-#include "fronts/http/front.h"
+#include "frontend/http/front.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "fronts/http/connection.h"
+#include "frontend/http/connection.h"
 
-namespace silverreach::fronts::http {
+namespace silverreach::frontend::http {
 
 using namespace std::chrono_literals;
 
-Front::Front(event::Loop& loop, const config::Config& config, config::AccountBook& accounts, core::Core& core,
-             Hooks hooks)
+Front::Front(event::Loop& loop, const config::Config& config, config::AccountBook& accounts,
+             core::Core& core, Hooks hooks)
     : loop_(loop),
       config_(config),
       anonymous_plan_(config::plan_index(config, config.api().anonymous_plan())),
@@ -23,12 +23,19 @@
     const auto at = config::parse_endpoint(config.listen().address());
     listener_ = std::make_unique<event::Listener>(
         loop, at->ip, at->port, at->v6,
-        [this] { return connections_.size() < static_cast<std::size_t>(config_.listen().max_connections()); },
+        [this] {
+            return connections_.size() <
+                   static_cast<std::size_t>(config_.listen().max_connections());
+        },
         [this](event::Fd fd, std::string client) { accept(std::move(fd), std::move(client)); });
 }
-Front::~Front() { alive_.reset(); }
+Front::~Front() {
+    alive_.reset();
+}
 
-int Front::port() const { return listener_->port(); }
+int Front::port() const {
+    return listener_->port();
+}
 void Front::stop_listening() {
     closing_ = true;
     listener_->stop();
@@ -37,11 +44,13 @@
     return listener_->listening() || std::any_of(connections_.begin(), connections_.end(),
                                                  [](const auto& c) { return c.first->owes(); });
 }
-std::size_t Front::connections() const { return connections_.size(); }
+std::size_t Front::connections() const {
+    return connections_.size();
+}
 
 void Front::accept(event::Fd fd, std::string client) {
-    auto connection =
-        std::make_unique<Connection>(*this, std::move(fd), std::move(client), listener_->waiting_since());
+    auto connection = std::make_unique<Connection>(*this, std::move(fd), std::move(client),
+                                                   listener_->waiting_since());
     Connection* key = connection.get();
     connections_.emplace(key, std::move(connection));
 }
@@ -55,7 +64,8 @@
 }
 
 const std::string& Front::date() {
-    if (const std::time_t now = std::time(nullptr); now != date_of_) date_ = wire::date_text(date_of_ = now);
+    if (const std::time_t now = std::time(nullptr); now != date_of_)
+        date_ = wire::date_text(date_of_ = now);
     return date_;
 }
 
@@ -63,14 +73,14 @@
     const auto it = by_id_.find(id);
     return it == by_id_.end() ? nullptr : it->second;
 }
-std::shared_ptr<const upstream::OutRequest> Front::out_request(RequestId id) const {
+std::shared_ptr<const upstream_http::OutRequest> Front::out_request(RequestId id) const {
     const Connection* c = find(id);
     return c ? c->out_request() : nullptr;
 }
 void Front::look_for_client(RequestId id) {
     if (Connection* c = find(id)) c->look_for_client();
 }
-void Front::finish(RequestId id, const core::Final& answer) {
+void Front::finish(RequestId id, const core::FinalResponse& answer) {
     if (Connection* c = find(id)) c->finish(answer);
 }
 void Front::cut(RequestId id) {
@@ -87,4 +97,4 @@
     if (Connection* c = find(id)) c->answer_ended(whole, trailers);
 }
 
-}  // namespace silverreach::fronts::http
+}  // namespace silverreach::frontend::http
--- a/src/fronts/http/front.h
+++ b/src/frontend/http/front.h
@@ -1,5 +1,5 @@
-// The HTTP front: clients' connections, requests in and answers out. It hands each whole request to the core
-// and writes what comes back; it decides on nothing but the form of a message.
+// The HTTP front: clients' connections, requests in and answers out. It hands each whole request to
+// the core and writes what comes back; it decides on nothing but the form of a message.
 #pragma once
 
 #include <functional>
@@ -12,11 +12,11 @@
 #include "event/graveyard.h"
 #include "event/listener.h"
 #include "event/stream.h"
-#include "fronts/http/resolve.h"
-#include "fronts/http/translate.h"
-#include "upstream/upstream.h"
+#include "frontend/http/resolve.h"
+#include "frontend/http/translate.h"
+#include "upstream/http/upstream.h"
 
-namespace silverreach::fronts::http {
+namespace silverreach::frontend::http {
 
 // What a log line of one request says.
 struct Record {
@@ -29,29 +29,32 @@
 class Front {
   public:
     struct Hooks {
-        std::function<std::shared_ptr<const openapi::Description>()> description;  // the one in force
+        std::function<std::shared_ptr<const openapi::Description>()>
+            description;  // the one in force
         std::function<void(const Record&)> record;
-        std::function<bool(const config::AccountRef&)> served_here;  // this instance is of the account's set
+        std::function<bool(const config::AccountRef&)>
+            served_here;  // this instance is of the account's set
     };
     // All but `hooks` must outlive the front. Throws std::runtime_error where it cannot listen.
-    Front(event::Loop& loop, const config::Config& config, config::AccountBook& accounts, core::Core& core,
-          Hooks hooks);
+    Front(event::Loop& loop, const config::Config& config, config::AccountBook& accounts,
+          core::Core& core, Hooks hooks);
     ~Front();
 
     int port() const;
     bool listening() const { return listener_->listening(); }
     void stop_listening();  // from now on connections end with the answers they are owed
-    bool owes() const;      // an answer, or its last bytes, to any client; or has not read what came
+    bool owes() const;  // an answer, or its last bytes, to any client; or has not read what came
     std::size_t connections() const;
     std::size_t in_hand() const { return by_id_.size(); }
 
     // Before an attempt goes out: sees to it that the client is still there.
     void look_for_client(RequestId id);
     // ---- what comes back for a request; an unknown id is passed over ----
-    std::shared_ptr<const upstream::OutRequest> out_request(RequestId id) const;
-    void finish(RequestId id, const core::Final& answer);
+    std::shared_ptr<const upstream_http::OutRequest> out_request(RequestId id) const;
+    void finish(RequestId id, const core::FinalResponse& answer);
     void cut(RequestId id);
-    // `pause` is called with true when the client is slow to take the answer, with false when it goes on.
+    // `pause` is called with true when the client is slow to take the answer, with false when it
+    // goes on.
     void answer_begins(RequestId id, const std::string& host, wire::Head& head,
                        std::function<void(bool)> pause);
     void answer_body(RequestId id, std::string_view bytes);
@@ -82,4 +85,4 @@
     std::unique_ptr<event::Listener> listener_;
 };
 
-}  // namespace silverreach::fronts::http
+}  // namespace silverreach::frontend::http
--- a/src/fronts/http/resolve.h
+++ b/src/frontend/http/resolve.h
@@ -1,4 +1,5 @@
-// What a request's head asks for under a description: route, account, units, time; or why not. No I/O.
+// What a request's head asks for under a description: route, account, units, time; or why not. No
+// I/O.
 #pragma once
 
 #include <memory>
@@ -10,7 +11,7 @@
 #include "http/parser.h"
 #include "openapi/description.h"
 
-namespace silverreach::fronts::http {
+namespace silverreach::frontend::http {
 
 namespace wire = silverreach::http;
 
@@ -31,8 +32,8 @@
     std::string path;    // as it goes to hosts, with the query
 };
 
-// The account of requests that carry no key, where the description allows that: by the client's address, so
-// that strangers do not share one total.
+// The account of requests that carry no key, where the description allows that: by the client's
+// address, so that strangers do not share one total.
 std::string anonymous_account(std::string_view client_address);
 
 class Resolver {
@@ -44,9 +45,11 @@
                                    Resolved& into) const;
 
   private:
-    std::optional<Refusal> find_account(const wire::Head& head, std::string_view query, Resolved& into) const;
+    std::optional<Refusal> find_account(const wire::Head& head, std::string_view query,
+                                        Resolved& into) const;
     std::optional<Refusal> find_units(const wire::Head& head, std::string_view query,
-                                      const openapi::RouteTable::Found& found, Resolved& into) const;
+                                      const openapi::RouteTable::Found& found,
+                                      Resolved& into) const;
     const config::Config& config_;
     config::AccountBook& accounts_;
 };
@@ -61,4 +64,4 @@
 std::vector<std::string> query_values(std::string_view query, std::string_view name);
 std::vector<std::string> cookie_values(const wire::Fields& fields, std::string_view name);
 
-}  // namespace silverreach::fronts::http
+}  // namespace silverreach::frontend::http
--- a/src/fronts/http/translate.cpp
+++ b/src/frontend/http/translate.cpp
@@ -1,10 +1,10 @@
-#include "fronts/http/translate.h"
+#include "frontend/http/translate.h"
 
 #include <fmt/format.h>
 
 #include <nlohmann/json.hpp>
 
-namespace silverreach::fronts::http {
+namespace silverreach::frontend::http {
 namespace {
 void add(std::string& out, std::string_view name, std::string_view value) {
     out.append(name).append(": ").append(value).append("\r\n");
@@ -28,7 +28,8 @@
 }
 
 std::string head_for_host(const wire::Head& head, const std::string& path, const Identity& identity,
-                          const std::string& client_address, const std::string& via, std::size_t body) {
+                          const std::string& client_address, const std::string& via,
+                          std::size_t body) {
     std::string out;
     out.reserve(512);
     out.append(head.method).append(" ").append(path).append(" HTTP/1.1\r\n");
@@ -38,10 +39,13 @@
     std::string via_line, forwarded;
     for (const wire::Field& f : head.fields) {
         const auto is = [&](std::string_view name) { return wire::same_name(f.name, name); };
-        if (is("Via")) via_line += f.value + ", ";
-        else if (is("Forwarded")) forwarded += f.value + ", ";
+        if (is("Via"))
+            via_line += f.value + ", ";
+        else if (is("Forwarded"))
+            forwarded += f.value + ", ";
         else if (!is("Host") && !is("Content-Length") && !is("Expect") && !is("X-Request-Id") &&
-                 !is("traceparent") && !is("Silverreach-Attempt") && !wire::hop_by_hop(connection, f.name))
+                 !is("traceparent") && !is("Silverreach-Attempt") &&
+                 !wire::hop_by_hop(connection, f.name))
             add(out, f.name, f.value);
     }
     if (body > 0 || head.chunked || head.has_length)
@@ -53,23 +57,30 @@
     return out;
 }
 
-std::string head_for_client(const wire::Head& head, const ClientSide& client, const std::string& request_id,
-                            const std::string& via, Framing& framing) {
+std::string head_for_client(const wire::Head& head, const ClientSide& client,
+                            const std::string& request_id, const std::string& via,
+                            Framing& framing) {
     std::string out;
     out.reserve(512);
     const std::string_view phrase = wire::reason_phrase(head.status);
     out += fmt::format("HTTP/1.1 {} {}\r\n", head.status, phrase);
     const bool bodyless = head.status == 204 || head.status == 304;
-    if (client.to_head || bodyless) framing = Framing::none;
-    else if (head.has_length) framing = Framing::length;
-    else framing = client.minor >= 1 ? Framing::chunked : Framing::until_close;
+    if (client.to_head || bodyless)
+        framing = Framing::none;
+    else if (head.has_length)
+        framing = Framing::length;
+    else
+        framing = client.minor >= 1 ? Framing::chunked : Framing::until_close;
     const auto connection = wire::connection_words(head.fields);
     std::string via_line;
     for (const wire::Field& f : head.fields) {
         const auto is = [&](std::string_view name) { return wire::same_name(f.name, name); };
-        if (is("Via")) via_line += f.value + ", ";
-        else if (is("Content-Length") && head.status == 204) continue;
-        else if (!is("X-Request-Id") && !is("endpoint-load-metrics") && !wire::hop_by_hop(connection, f.name))
+        if (is("Via"))
+            via_line += f.value + ", ";
+        else if (is("Content-Length") && head.status == 204)
+            continue;
+        else if (!is("X-Request-Id") && !is("endpoint-load-metrics") &&
+                 !wire::hop_by_hop(connection, f.name))
             add(out, f.name, f.value);
     }
     add(out, "Via", via_line + fmt::format("1.{} {}", head.minor, via));
@@ -77,8 +88,10 @@
     if (!client.date.empty() && !wire::find(head.fields, "Date")) add(out, "Date", client.date);
     if (framing == Framing::chunked) add(out, "Transfer-Encoding", "chunked");
     const bool keep = client.keep_alive && framing != Framing::until_close;
-    if (!keep) add(out, "Connection", "close");
-    else if (client.minor == 0) add(out, "Connection", "keep-alive");
+    if (!keep)
+        add(out, "Connection", "close");
+    else if (client.minor == 0)
+        add(out, "Connection", "keep-alive");
     return out += "\r\n";
 }
 
@@ -92,45 +105,45 @@
     return out += "\r\n";
 }
 
-std::string_view reason_name(RefuseReason reason) {
+std::string_view reason_name(RejectReason reason) {
     constexpr std::array<std::string_view, 7> names = {"quota",   "ceiling",   "open", "pressed",
                                                        "no-host", "no-answer", "late"};
     return names[static_cast<std::size_t>(reason)];
 }
 
-OwnAnswer own_answer(const core::Final& answer) {
+OwnAnswer own_answer(const core::FinalResponse& answer) {
     OwnAnswer own;
     own.retry_after = answer.retry_after;
-    if (!answer.refused) {
-        const bool late = answer.fail_reason == core::FailReason::no_time;
+    if (!answer.rejected) {
+        const bool late = answer.failure_reason == core::FailureReason::timed_out;
         own.status = late ? 504 : 502;
         own.type = late ? "no-time" : "bad-answer";
         own.title = late ? "No answer in time" : "No good answer";
         own.detail = "The request may have run. This answer promises nothing about it.";
         return own;
     }
-    own.type = reason_name(answer.refuse_reason);
+    own.type = reason_name(answer.reject_reason);
     own.detail = "Trying again is harmless.";
-    switch (answer.refuse_reason) {
-        case RefuseReason::quota:
+    switch (answer.reject_reason) {
+        case RejectReason::quota_exhausted:
             own.status = 429, own.title = "The account's quota is spent";
             break;
-        case RefuseReason::ceiling:
+        case RejectReason::ceiling_reached:
             own.status = 429, own.title = "The account's ceiling is reached";
             break;
-        case RefuseReason::open:
+        case RejectReason::concurrency_limit:
             own.status = 429, own.title = "The account has too many requests open";
             break;
-        case RefuseReason::pressed:
+        case RejectReason::overloaded:
             own.status = 503, own.title = "The back end is pressed";
             break;
-        case RefuseReason::no_host:
+        case RejectReason::no_endpoint:
             own.status = 503, own.title = "No host could take the request in time";
             break;
-        case RefuseReason::no_answer:
+        case RejectReason::no_response:
             own.status = 504, own.title = "No answer in time";
             break;
-        case RefuseReason::late:
+        case RejectReason::deadline_exceeded:
             own.status = 504, own.title = "The request came with no time left";
             break;
     }
@@ -152,13 +165,16 @@
     return own;
 }
 
-std::string write_answer(const OwnAnswer& answer, const ClientSide& client, const std::string& request_id) {
+std::string write_answer(const OwnAnswer& answer, const ClientSide& client,
+                         const std::string& request_id) {
     nlohmann::json body = {{"status", answer.status}, {"title", answer.title}};
     body["type"] = answer.type.empty() ? "about:blank" : "urn:silverreach:reason:" + answer.type;
     if (!answer.detail.empty()) body["detail"] = answer.detail;
     if (!request_id.empty()) body["instance"] = "urn:silverreach:request:" + request_id;
-    const std::string text = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
-    std::string out = fmt::format("HTTP/1.1 {} {}\r\n", answer.status, wire::reason_phrase(answer.status));
+    const std::string text =
+        body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
+    std::string out =
+        fmt::format("HTTP/1.1 {} {}\r\n", answer.status, wire::reason_phrase(answer.status));
     if (!client.date.empty()) add(out, "Date", client.date);
     add(out, "Content-Type", "application/problem+json");
     add(out, "Content-Length", fmt::format_int(text.size()).c_str());
@@ -168,13 +184,16 @@
         const auto seconds = (answer.retry_after.count() + 999'999) / 1'000'000;
         add(out, "Retry-After", fmt::format_int(std::max<std::int64_t>(seconds, 0)).c_str());
         if (answer.retry_after.count() > 0)
-            add(out, "Retry-After-Ms", fmt::format_int((answer.retry_after.count() + 999) / 1000).c_str());
+            add(out, "Retry-After-Ms",
+                fmt::format_int((answer.retry_after.count() + 999) / 1000).c_str());
     }
     out += answer.fields;
-    if (!client.keep_alive) add(out, "Connection", "close");
-    else if (client.minor == 0) add(out, "Connection", "keep-alive");
+    if (!client.keep_alive)
+        add(out, "Connection", "close");
+    else if (client.minor == 0)
+        add(out, "Connection", "keep-alive");
     out += "\r\n";
     return client.to_head ? out : out + text;
 }
 
-}  // namespace silverreach::fronts::http
+}  // namespace silverreach::frontend::http
--- a/src/fronts/resp/connection.cpp
+++ b/src/frontend/resp/connection.cpp
@@ -1,23 +1,26 @@
-#include "fronts/resp/connection.h"
+#include "frontend/resp/connection.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace silverreach::fronts::resp {
+namespace silverreach::frontend::resp {
 namespace {
 using namespace std::chrono_literals;
 namespace wire = silverreach::resp;
-constexpr Micros first_command_due = 2s, command_due = 2s;  // from the connect, from a command's first byte
-constexpr Micros idle_most = 8s;                            // between requests
-constexpr Micros unread_most = 5s;                          // answers that the client does not take
-constexpr Micros answer_margin = 5ms;  // of the client's time, for the way back and this loop's turn
+constexpr Micros first_command_due = 2s,
+                 command_due = 2s;  // from the connect, from a command's first byte
+constexpr Micros idle_most = 8s;    // between requests
+constexpr Micros unread_most = 5s;  // answers that the client does not take
+constexpr Micros answer_margin =
+    5ms;  // of the client's time, for the way back and this loop's turn
 constexpr std::size_t places_most = 64, commands_a_turn = 64;
 constexpr std::size_t queued_most = 256 * 1024;  // bytes that a client has not read
 constexpr std::size_t small_command = 4096;      // always kept
 constexpr std::size_t ahead_most = 32 * 1024;    // of commands read before there is room for them
-constexpr Micros linger_most = 300ms;  // for the client to end as well, once nothing is sent any more
+constexpr Micros linger_most =
+    300ms;  // for the client to end as well, once nothing is sent any more
 constexpr std::size_t linger_bytes = 256 * 1024;  // of it that are read and dropped
-constexpr int nonsense_free = 8;                  // commands without sense before they are read more slowly
+constexpr int nonsense_free = 8;  // commands without sense before they are read more slowly
 constexpr Micros nonsense_pause = 20ms;
 constexpr int nonsense_steps = 25;
 }  // namespace
@@ -84,7 +87,8 @@
         }
         ++commands_;
         std::vector<std::string_view> words;
-        for (std::size_t i = 0; i < reader_.words(); ++i) words.push_back(reader_.word(rest, i));
+        for (std::size_t i = 0; i < reader_.words(); ++i)
+            words.push_back(reader_.word(rest, i));
         taken += reader_.size();
         const Micros now = front_.loop_.now();
         request(words, now - arrivals_.of(taken, now));
@@ -99,11 +103,14 @@
     if (in_.empty()) arrivals_.take_all();
     if (in_.empty() && in_.capacity() > 4096) in_.shrink_to_fit();
     keep(before);
-    if (in_.empty()) partial_since_ = 0us;
-    else if (taken > 0 || partial_since_ == 0us) partial_since_ = front_.loop_.now();
+    if (in_.empty())
+        partial_since_ = 0us;
+    else if (taken > 0 || partial_since_ == 0us)
+        partial_since_ = front_.loop_.now();
     flush();
     if (gone_) return;
-    // What stopped it may have gone out with the flush, and nothing else would come back to what waits.
+    // What stopped it may have gone out with the flush, and nothing else would come back to what
+    // waits.
     if (stopped && !waits_for_turn()) more_later = true;
     // One large command; whole ones that wait for their turn are kept, and no more is read.
     const bool unfinished = !more_later && !waits_for_turn();
@@ -120,8 +127,9 @@
     return held_ || places_.size() >= places_most || stream_.queued() >= queued_most;
 }
 
-// Reads on only while there is room for what it brings. Somewhat ahead of that, so that the client's end is
-// seen behind commands that wait for their turn; not where all connections together keep too much.
+// Reads on only while there is room for what it brings. Somewhat ahead of that, so that the
+// client's end is seen behind commands that wait for their turn; not where all connections together
+// keep too much.
 void Front::Connection::hold() {
     const bool waits = waits_for_turn();
     const bool tight = front_.kept_bytes_ > front_.limits_.kept_bytes;
@@ -143,22 +151,23 @@
     platform::Request r = front_.judge_.judge(words);
     if (!r.error.empty()) return nonsense(r.error);
     if (front_.by_client_id_.count(r.id)) return nonsense("id: a request of that name is open");
-    const Micros left = std::min(r.attempt.time_left - waited, front_.time_to_end()) - answer_margin;
+    const Micros left =
+        std::min(r.attempt.time_remaining - waited, front_.time_to_end()) - answer_margin;
     if (left <= 0us) return say("-BUSY\r\n");
-    r.attempt.time_left = left;
+    r.attempt.time_remaining = left;
     nonsense_in_a_row_ = 0;
     const RequestId id = front_.core_.next_id();
     places_.push_back({id, {}});
     front_.by_client_id_[r.id] = id;
     front_.requests_[id] = {this, first_place_ + places_.size() - 1, r.id, front_.loop_.now(),
                             std::make_shared<const platform::OutCommand>(std::move(r.out))};
-    front_.core_.take(front_.clock_(), id, r.attempt);
+    front_.core_.start_request(front_.clock_(), id, r.attempt);
 }
 
 void Front::Connection::nonsense(std::string_view why) {
     ++front_.stats_.nonsense;
-    // Who repeats at once what made no sense is read more slowly each time. A connection that also has sense
-    // in it, a front with many customers, is not.
+    // Who repeats at once what made no sense is read more slowly each time. A connection that also
+    // has sense in it, a front with many customers, is not.
     if (++nonsense_in_a_row_ > nonsense_free && !held_) {
         held_ = true;
         const int steps = std::min(nonsense_in_a_row_ - nonsense_free, nonsense_steps);
@@ -171,7 +180,9 @@
     say("-ERR " + std::string(why) + "\r\n");
 }
 
-void Front::Connection::say(std::string bytes) { places_.push_back({0, std::move(bytes)}); }
+void Front::Connection::say(std::string bytes) {
+    places_.push_back({0, std::move(bytes)});
+}
 
 void Front::Connection::answered(std::uint64_t place, std::string bytes) {
     if (gone_ || place < first_place_ || place - first_place_ >= places_.size()) return;
@@ -179,15 +190,19 @@
     p.request = 0, p.bytes = std::move(bytes);
     if (working_) return;
     flush();
-    if (!gone_ && !in_.empty()) work();
-    else if (!gone_) hold();
+    if (!gone_ && !in_.empty())
+        work();
+    else if (!gone_)
+        hold();
 }
 
 void Front::Connection::flush() {
     std::string out;
     while (!places_.empty() && places_.front().request == 0) {
-        if (out.empty()) out = std::move(places_.front().bytes);
-        else out += places_.front().bytes;
+        if (out.empty())
+            out = std::move(places_.front().bytes);
+        else
+            out += places_.front().bytes;
         places_.pop_front();
         ++first_place_;
     }
@@ -195,7 +210,9 @@
         since_ = front_.loop_.now();
         stream_.write(out);
     }
-    slow_since_ = stream_.queued() == 0 ? 0us : slow_since_ == 0us ? front_.loop_.now() : slow_since_;
+    slow_since_ = stream_.queued() == 0 ? 0us
+                  : slow_since_ == 0us  ? front_.loop_.now()
+                                        : slow_since_;
     if (over()) leave(reason_to_end());
 }
 
@@ -209,8 +226,10 @@
 void Front::Connection::on_drained() {
     slow_since_ = 0us;
     if (over()) return leave(reason_to_end());
-    if (!in_.empty()) work();
-    else hold();
+    if (!in_.empty())
+        work();
+    else
+        hold();
 }
 
 void Front::Connection::fault(std::string_view why) {
@@ -229,13 +248,15 @@
     if (places_.empty()) {
         if (commands_ == 0 && now - since_ >= first_command_due)
             return ++front_.stats_.silent, leave(CloseReason::no_command);
-        if (commands_ > 0 && now - since_ >= idle_most && at_rest()) return leave(CloseReason::idle);
+        if (commands_ > 0 && now - since_ >= idle_most && at_rest())
+            return leave(CloseReason::idle);
     }
     if (over()) return leave(reason_to_end());
-    if (!in_.empty() && !held_ && !ending_ && places_.size() < places_most && partial_since_ > 0us &&
-        now - partial_since_ >= command_due)
+    if (!in_.empty() && !held_ && !ending_ && places_.size() < places_most &&
+        partial_since_ > 0us && now - partial_since_ >= command_due)
         return ++front_.stats_.broken, fault("a command not finished in time");
-    if (slow_since_ > 0us && now - slow_since_ >= unread_most) return close(CloseReason::answers_unread);
+    if (slow_since_ > 0us && now - slow_since_ >= unread_most)
+        return close(CloseReason::answers_unread);
 }
 
 CloseReason Front::Connection::reason_to_end() const {
@@ -280,7 +301,8 @@
         }
     Front& front = front_;
     front.bury(*this);
-    for (const RequestId id : left) front.core_.client_left(front.clock_(), id);
+    for (const RequestId id : left)
+        front.core_.on_client_disconnected(front.clock_(), id);
 }
 
-}  // namespace silverreach::fronts::resp
+}  // namespace silverreach::frontend::resp
--- a/src/fronts/resp/connection.h
+++ b/src/frontend/resp/connection.h
@@ -6,10 +6,10 @@
 #include <string>
 
 #include "event/arrival_log.h"
-#include "fronts/resp/front.h"
+#include "frontend/resp/front.h"
 #include "resp/command.h"
 
-namespace silverreach::fronts::resp {
+namespace silverreach::frontend::resp {
 
 class Front::Connection : public event::StreamOwner {
   public:
@@ -17,12 +17,14 @@
 
     void answered(std::uint64_t place, std::string bytes);  // whole, as it goes out
     void close(CloseReason reason);  // at once; requests in hand have lost their client
-    // Ends it with nothing owed to the client: sends no more, reads and drops what still comes until the
-    // client ends as well. Closed over unread bytes the system would reset it, and with it take answers that
-    // the client has not got yet.
+    // Ends it with nothing owed to the client: sends no more, reads and drops what still comes
+    // until the client ends as well. Closed over unread bytes the system would reset it, and with
+    // it take answers that the client has not got yet.
     void leave(CloseReason reason);
     bool lingering() const { return lingering_; }
-    bool left() const { return stream_.left(); }  // the client has gone, though the loop has not told yet
+    bool left() const {
+        return stream_.left();
+    }  // the client has gone, though the loop has not told yet
     // Looks at the time: a connection that owes a command, or has been idle, goes.
     void look(Micros now);
     bool idle() const { return places_.empty() && in_.empty() && stream_.queued() == 0; }
@@ -72,4 +74,4 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace silverreach::fronts::resp
+}  // namespace silverreach::frontend::resp
--- a/src/fronts/resp/front.cpp
+++ b/src/frontend/resp/front.cpp
@@ -1,10 +1,10 @@
-#include "fronts/resp/front.h"
+#include "frontend/resp/front.h"
 
 #include <algorithm>
 
-#include "fronts/resp/connection.h"
+#include "frontend/resp/connection.h"
 
-namespace silverreach::fronts::resp {
+namespace silverreach::frontend::resp {
 namespace {
 using namespace std::chrono_literals;
 constexpr Micros look_period = 200ms;
@@ -19,7 +19,12 @@
 
 Front::Front(event::Loop& loop, const config::Endpoint& listen, const platform::Judge& judge,
              FrontLimits limits, core::Core& core, std::function<Micros()> clock)
-    : loop_(loop), judge_(judge), limits_(limits), core_(core), clock_(std::move(clock)), gone_(loop) {
+    : loop_(loop),
+      judge_(judge),
+      limits_(limits),
+      core_(core),
+      clock_(std::move(clock)),
+      gone_(loop) {
     listener_ = std::make_unique<event::Listener>(
         loop, listen.ip, listen.port, listen.v6, [this] { return room(); },
         [this](event::Fd fd, std::string) { accepted(std::move(fd)); });
@@ -27,8 +32,8 @@
 }
 Front::~Front() = default;
 
-// The oldest that never said a whole command, else the one that has been idle longest; never one with a
-// request in hand.
+// The oldest that never said a whole command, else the one that has been idle longest; never one
+// with a request in hand.
 Front::Connection* Front::longest_at_rest() {
     Connection* out = nullptr;
     for (const auto& c : connections_) {
@@ -61,13 +66,15 @@
     if (++lingering_ <= limits_.lingering) return;
     Connection* out = nullptr;
     for (const auto& c : connections_)
-        if (c->lingering() && c.get() != &connection && (!out || c->since() < out->since())) out = c.get();
+        if (c->lingering() && c.get() != &connection && (!out || c->since() < out->since()))
+            out = c.get();
     (out ? *out : connection).close(CloseReason::linger_crowded);
 }
 
 void Front::accepted(event::Fd fd) {
     ++stats_.accepted;
-    connections_.push_back(std::make_unique<Connection>(*this, std::move(fd), listener_->waiting_since()));
+    connections_.push_back(
+        std::make_unique<Connection>(*this, std::move(fd), listener_->waiting_since()));
     connections_.back()->slot = connections_.size() - 1;
 }
 
@@ -85,8 +92,9 @@
 
 void Front::closing(const ClientClose& close) {
     ++stats_.closes[static_cast<std::size_t>(close.reason)];
-    const rules::ClientFacts facts{close.requests_in_hand, close.reason == CloseReason::client_ended};
-    if (rules::Rules::may_close(facts)) ++stats_.closed_in_hand;
+    const rules::ConnectionRecord facts{close.requests_in_hand,
+                                        close.reason == CloseReason::client_ended};
+    if (rules::AttemptRules::check_close(facts)) ++stats_.closed_in_hand;
     if (on_close_) on_close_(close);
 }
 
@@ -124,10 +132,11 @@
     open.connection->answered(open.place, std::move(bytes));
 }
 
-void Front::finish(RequestId id, const core::Final& answer) {
-    if (!answer.refused)
-        return over(id, answer.fail_reason == core::FailReason::no_time ? "-ERR no answer in time\r\n"
-                                                                        : "-ERR failed\r\n");
+void Front::finish(RequestId id, const core::FinalResponse& answer) {
+    if (!answer.rejected)
+        return over(id, answer.failure_reason == core::FailureReason::timed_out
+                            ? "-ERR no answer in time\r\n"
+                            : "-ERR failed\r\n");
     const auto ms = std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after).count();
     over(id, ms > 0 ? "-BUSY " + std::to_string(ms) + "\r\n" : "-BUSY\r\n");
 }
@@ -152,4 +161,4 @@
     return s;
 }
 
-}  // namespace silverreach::fronts::resp
+}  // namespace silverreach::frontend::resp
--- a/src/fronts/resp/front.h
+++ b/src/frontend/resp/front.h
@@ -1,11 +1,11 @@
-// The platform's front: RESP2 clients over TCP. It takes commands, hands requests to the core and writes each
-// connection's answers in the order of its commands. What a request means is judged by platform::Judge, what
-// becomes of it by the core.
+// The platform's front: RESP2 clients over TCP. It takes commands, hands requests to the core and
+// writes each connection's answers in the order of its commands. What a request means is judged by
+// platform::Judge, what becomes of it by the core.
 //
-// Defences, each against one thing: silent and half-sent connections are closed in time; a broken frame gets
-// one error line and the end; commands in hand, bytes kept and bytes not yet read by a client are bounded; a
-// connection that keeps sending nonsense is read ever more slowly; when descriptors run short the silent and
-// the idle go first.
+// Defences, each against one thing: silent and half-sent connections are closed in time; a broken
+// frame gets one error line and the end; commands in hand, bytes kept and bytes not yet read by a
+// client are bounded; a connection that keeps sending nonsense is read ever more slowly; when
+// descriptors run short the silent and the idle go first.
 #pragma once
 
 #include <array>
@@ -22,7 +22,7 @@
 #include "event/stream.h"
 #include "platform/request.h"
 
-namespace silverreach::fronts::resp {
+namespace silverreach::frontend::resp {
 
 struct FrontLimits {
     std::size_t connections = 100;
@@ -46,8 +46,8 @@
 constexpr std::size_t close_reason_count = 10;
 std::string_view text_of(CloseReason reason);
 
-// A connection that this instance ends, or has seen end. Told once for an end in good order, and once more
-// where the connection is then closed for another reason.
+// A connection that this instance ends, or has seen end. Told once for an end in good order, and
+// once more where the connection is then closed for another reason.
 struct ClientClose {
     CloseReason reason = CloseReason::client_ended;
     std::size_t requests_in_hand = 0;
@@ -56,26 +56,31 @@
 
 class Front {
   public:
-    // `clock` gives the core's time. Throws std::runtime_error where the address cannot be listened on.
-    Front(event::Loop& loop, const config::Endpoint& listen, const platform::Judge& judge, FrontLimits limits,
-          core::Core& core, std::function<Micros()> clock);
+    // `clock` gives the core's time. Throws std::runtime_error where the address cannot be listened
+    // on.
+    Front(event::Loop& loop, const config::Endpoint& listen, const platform::Judge& judge,
+          FrontLimits limits, core::Core& core, std::function<Micros()> clock);
     ~Front();
 
     int port() const { return listener_->port(); }
     // The command of a request that is still in hand; else nothing.
     std::shared_ptr<const platform::OutCommand> out_command(RequestId id) const;
-    void finish(RequestId id, const core::Final& answer);
+    void finish(RequestId id, const core::FinalResponse& answer);
     void answer(RequestId id, std::string_view value);  // a host's, whole
 
     bool listening() const { return listener_->listening(); }
     // Ends a connection that rests, for its descriptor; false where none does.
     bool give_up_idle();
-    void on_shortage(std::function<bool()> give_up_idle) { listener_->on_shortage(std::move(give_up_idle)); }
+    void on_shortage(std::function<bool()> give_up_idle) {
+        listener_->on_shortage(std::move(give_up_idle));
+    }
     void stop_listening();  // takes what has been accepted by the system already, then no more
-    // From now on a connection goes once its last request is answered, and what still comes is answered
-    // before `end` (of the loop's time). After that one goes as soon as it has no request in hand.
+    // From now on a connection goes once its last request is answered, and what still comes is
+    // answered before `end` (of the loop's time). After that one goes as soon as it has no request
+    // in hand.
     void close_when_idle(Micros end);
-    // Before an attempt that comes later than its request: sees to it that the client is still there.
+    // Before an attempt that comes later than its request: sees to it that the client is still
+    // there.
     void look_for_client(RequestId id);
     std::size_t in_hand() const { return requests_.size(); }
     // Hears of every connection that ends, for the log.
@@ -86,7 +91,8 @@
         std::size_t connections = 0;
         std::uint64_t accepted = 0, nonsense = 0, broken = 0, silent = 0, turned_away = 0;
         std::array<std::uint64_t, close_reason_count> closes{};  // by CloseReason
-        std::uint64_t closed_in_hand = 0;  // violations: ended by this instance with requests in hand
+        std::uint64_t closed_in_hand =
+            0;  // violations: ended by this instance with requests in hand
     };
     Stats stats() const;
 
@@ -128,4 +134,4 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace silverreach::fronts::resp
+}  // namespace silverreach::frontend::resp
--- a/src/http/chunks.cpp
+++ b/src/http/chunks.cpp
@@ -11,7 +11,9 @@
     return (c >= '0' && c <= '9') || (c >= 'A' && c <= 'Z') || (c >= 'a' && c <= 'z') ||
            std::string_view("!#$%&'*+-.^_`|~").find(static_cast<char>(c)) != std::string_view::npos;
 }
-bool is_text(unsigned char c) { return c == '\t' || (c >= ' ' && c != 0x7F); }
+bool is_text(unsigned char c) {
+    return c == '\t' || (c >= ' ' && c != 0x7F);
+}
 int hex(unsigned char c) {
     if (c >= '0' && c <= '9') return c - '0';
     if (c >= 'a' && c <= 'f') return c - 'a' + 10;
@@ -27,16 +29,19 @@
             size_ -= n, i += n;
             continue;
         }
-        if (const char* wrong = step(static_cast<unsigned char>(bytes[i++]))) return Fault{status, wrong};
+        if (const char* wrong = step(static_cast<unsigned char>(bytes[i++])))
+            return Fault{status, wrong};
     }
     return std::nullopt;
 }
 
 const char* ChunkGuard::step(unsigned char c) {
     const auto go = [this](State s) { return state_ = s, nullptr; };
-    if (state_ >= State::extension_start && state_ <= State::quote_closed && ++line_ > most_extension)
+    if (state_ >= State::extension_start && state_ <= State::quote_closed &&
+        ++line_ > most_extension)
         return "a chunk's extensions are too long";
-    if (state_ >= State::trailer_start && state_ <= State::trailer_lf && ++trailers_ > most_trailers)
+    if (state_ >= State::trailer_start && state_ <= State::trailer_lf &&
+        ++trailers_ > most_trailers)
         return "the trailers are too long";
     switch (state_) {
         case State::size_start:
@@ -50,7 +55,8 @@
             }
             if (digits_ == 0) return "a chunk's size must be hexadecimal digits";
             if (c == ';') return go(State::extension_start);
-            return c == '\r' ? go(State::size_lf) : "a chunk's size must end with CR LF or an extension";
+            return c == '\r' ? go(State::size_lf)
+                             : "a chunk's size must end with CR LF or an extension";
         case State::extension_start:
             return is_token(c) ? go(State::extension) : "a chunk's extension must have a name";
         case State::extension:
@@ -64,7 +70,8 @@
             return c == '\r' ? go(State::size_lf) : "a chunk's extension must end with CR LF";
         case State::value_start:
             if (c == '"') return go(State::quoted);
-            return is_token(c) ? go(State::value) : "a chunk's extension must have a value after \"=\"";
+            return is_token(c) ? go(State::value)
+                               : "a chunk's extension must have a value after \"=\"";
         case State::quoted:
             if (c == '"') return go(State::quote_closed);
             if (c == '\\') return go(State::escaped);
--- a/src/http/chunks.h
+++ b/src/http/chunks.h
@@ -1,6 +1,7 @@
-// Holds a chunked body to the grammar of RFC 9112, section 7.1, byte by byte, in pieces of any size.
-// http-parser reads more than that: what it passes over, another program in the way may read as the next
-// message. Two things of the grammar are not taken either, as nobody sends them: white space around ";" and
+// Holds a chunked body to the grammar of RFC 9112, section 7.1, byte by byte, in pieces of any
+// size. http-parser reads more than that: what it passes over, another program in the way may read
+// as the next message. Two things of the grammar are not taken either, as nobody sends them: white
+// space around ";" and
 // "=". No I/O.
 #pragma once
 
@@ -14,7 +15,8 @@
 
 class ChunkGuard {
   public:
-    // Looks at bytes up to the body's end or the first that is wrong; then says what. `status`: of the fault.
+    // Looks at bytes up to the body's end or the first that is wrong; then says what. `status`: of
+    // the fault.
     std::optional<Fault> look(std::string_view bytes, int status);
     bool done() const { return state_ == State::done; }
 
--- a/src/http/head.cpp
+++ b/src/http/head.cpp
@@ -9,14 +9,18 @@
 constexpr std::string_view digits = "0123456789";
 constexpr std::size_t most_length_digits = 15;
 
-char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+char lower(char c) {
+    return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
+}
 bool token_char(char c) {
     return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'z') ||
            std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
 }
 std::string_view trim(std::string_view text) {
-    while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
-    while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+    while (!text.empty() && (text.front() == ' ' || text.front() == '\t'))
+        text.remove_prefix(1);
+    while (!text.empty() && (text.back() == ' ' || text.back() == '\t'))
+        text.remove_suffix(1);
     return text;
 }
 std::string_view next_word(std::string_view& list) {
@@ -61,9 +65,11 @@
     if (f.lengths > 1) return Fault{400, "Content-Length more than once"};
     if (f.codings > 1) return Fault{400, "Transfer-Encoding more than once"};
     if (f.lengths && f.codings) return Fault{400, "Content-Length beside Transfer-Encoding"};
-    if (f.lengths && (f.length.empty() || f.length.find_first_not_of(digits) != std::string_view::npos))
+    if (f.lengths &&
+        (f.length.empty() || f.length.find_first_not_of(digits) != std::string_view::npos))
         return Fault{400, "a Content-Length that is not digits alone"};
-    if (f.length.size() > most_length_digits) return Fault{413, "a Content-Length beyond all limits"};
+    if (f.length.size() > most_length_digits)
+        return Fault{413, "a Content-Length beyond all limits"};
     if (f.codings && http_1_0) return Fault{400, "Transfer-Encoding in HTTP/1.0"};
     if (f.codings && !same_name(f.coding, "chunked"))
         return Fault{501, "a transfer coding other than chunked"};
@@ -72,14 +78,15 @@
 
 bool sound_host(std::string_view host) {
     return std::all_of(host.begin(), host.end(), [](char c) {
-        return c > 0x20 && c < 0x7F && std::string_view("/\\?#@<>\"{}|^`,").find(c) == std::string_view::npos;
+        return c > 0x20 && c < 0x7F &&
+               std::string_view("/\\?#@<>\"{}|^`,").find(c) == std::string_view::npos;
     });
 }
 }  // namespace
 
 bool same_name(std::string_view a, std::string_view b) {
-    return a.size() == b.size() &&
-           std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
+    return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(),
+                                              [](char x, char y) { return lower(x) == lower(y); });
 }
 const std::string* find(const Fields& fields, std::string_view name) {
     for (const Field& f : fields)
@@ -109,7 +116,8 @@
     constexpr std::size_t around_target = 40;  // method, version and spaces
     if (line > limits.target + around_target) return Fault{414, "a target that is too long"};
     if (head.size() > limits.head) return Fault{431, "a head that is too long"};
-    // A bare LF is looked for early: such a client waits for an answer that the end of its head never brings.
+    // A bare LF is looked for early: such a client waits for an answer that the end of its head
+    // never brings.
     for (std::size_t i = head.find('\n'); i != std::string_view::npos; i = head.find('\n', i + 1))
         if (i == 0 || head[i - 1] != '\r') return Fault{400, "a line that does not end with CR LF"};
     return std::nullopt;
@@ -123,7 +131,8 @@
     const std::size_t first = line.find(' '), last = line.rfind(' ');
     if (first == std::string_view::npos || first == last)
         return Fault{400, "a request line that is not whole"};
-    const std::string_view method = line.substr(0, first), target = line.substr(first + 1, last - first - 1);
+    const std::string_view method = line.substr(0, first),
+                           target = line.substr(first + 1, last - first - 1);
     const std::string_view version = line.substr(last + 1);
     if (!token(method)) return Fault{400, "a method that is no token"};
     if (target.size() > limits.target) return Fault{414, "a target that is too long"};
@@ -148,11 +157,13 @@
 std::optional<Fault> check_response(std::string_view head) {
     const std::size_t end = head.find("\r\n");
     const bool line = head.starts_with("HTTP/1.") && end != std::string_view::npos && end >= 12;
-    if (!line || head.substr(0, end).find_first_of(std::string_view("\n\r\0", 3)) != std::string_view::npos)
+    if (!line ||
+        head.substr(0, end).find_first_of(std::string_view("\n\r\0", 3)) != std::string_view::npos)
         return Fault{502, "a status line that is not whole"};
     Framing framing;
     constexpr std::size_t most_fields = 256;
-    if (auto fault = check_fields(head.substr(end + 2), most_fields, framing)) return Fault{502, fault->why};
+    if (auto fault = check_fields(head.substr(end + 2), most_fields, framing))
+        return Fault{502, fault->why};
     if (auto fault = check_framing(framing, false)) return Fault{502, fault->why};
     return std::nullopt;
 }
@@ -162,7 +173,8 @@
     for (const Field& f : fields) {
         if (!same_name(f.name, "Connection")) continue;
         std::string_view list = f.value;
-        while (!list.empty()) words.push_back(next_word(list));
+        while (!list.empty())
+            words.push_back(next_word(list));
     }
     return words;
 }
@@ -178,8 +190,8 @@
 
 bool sound_request_id(std::string_view text) {
     return !text.empty() && text.size() <= 64 && std::all_of(text.begin(), text.end(), [](char c) {
-        return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'z') || c == '.' || c == '_' ||
-               c == '-';
+        return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'z') || c == '.' ||
+               c == '_' || c == '-';
     });
 }
 bool sound_traceparent(std::string_view t) {
@@ -202,8 +214,9 @@
     std::tm t{};
     gmtime_r(&at, &t);
     char text[40];
-    std::snprintf(text, sizeof text, "%.3s, %02d %.3s %04d %02d:%02d:%02d GMT", days.data() + 3 * t.tm_wday,
-                  t.tm_mday, months.data() + 3 * t.tm_mon, t.tm_year + 1900, t.tm_hour, t.tm_min, t.tm_sec);
+    std::snprintf(text, sizeof text, "%.3s, %02d %.3s %04d %02d:%02d:%02d GMT",
+                  days.data() + 3 * t.tm_wday, t.tm_mday, months.data() + 3 * t.tm_mon,
+                  t.tm_year + 1900, t.tm_hour, t.tm_min, t.tm_sec);
     return text;
 }
 
--- a/src/http/head.h
+++ b/src/http/head.h
@@ -32,9 +32,10 @@
     std::size_t target = 8192, head = 16384, fields = 100;
 };
 
-// Judges a request's whole head, its empty line included. Everything that two programs could read differently
-// is refused: bare CR or LF, folded lines, space before a colon, lengths that are repeated, signed or beside
-// Transfer-Encoding, codings other than chunked, a missing or second Host.
+// Judges a request's whole head, its empty line included. Everything that two programs could read
+// differently is refused: bare CR or LF, folded lines, space before a colon, lengths that are
+// repeated, signed or beside Transfer-Encoding, codings other than chunked, a missing or second
+// Host.
 std::optional<Fault> check_request(std::string_view head, const HeadLimits& limits);
 // The same for a host's answer, as far as it applies.
 std::optional<Fault> check_response(std::string_view head);
@@ -43,8 +44,8 @@
 // The end of the head, past its empty line; npos: not there yet. Searches from `from`.
 std::size_t head_end(std::string_view bytes, std::size_t from);
 
-// Fields that concern one connection only are not passed on: those of RFC 9110 7.6.1 and what Connection
-// names. The words of the Connection field.
+// Fields that concern one connection only are not passed on: those of RFC 9110 7.6.1 and what
+// Connection names. The words of the Connection field.
 std::vector<std::string_view> connection_words(const Fields& fields);
 bool hop_by_hop(const std::vector<std::string_view>& connection, std::string_view name);
 
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -4,7 +4,8 @@
 
 namespace silverreach::http {
 
-Parser::Parser(Kind kind, Events& events, HeadLimits limits) : events_(events), limits_(limits), kind_(kind) {
+Parser::Parser(Kind kind, Events& events, HeadLimits limits)
+    : events_(events), limits_(limits), kind_(kind) {
     http_parser_init(&parser_, kind == Kind::request ? HTTP_REQUEST : HTTP_RESPONSE);
     parser_.data = this;
 }
@@ -29,7 +30,9 @@
         (self.in_trailers_ ? self.trailers_ : self.head_.fields).back().value.append(at, n);
         return 0;
     };
-    s.on_headers_complete = [](http_parser* p) { return static_cast<Parser*>(p->data)->head_complete(); };
+    s.on_headers_complete = [](http_parser* p) {
+        return static_cast<Parser*>(p->data)->head_complete();
+    };
     s.on_body = [](http_parser* p, const char* at, size_t n) {
         static_cast<Parser*>(p->data)->events_.on_body({at, n});
         return 0;
@@ -67,9 +70,11 @@
     std::size_t taken = 0;
     while (!dead_ && !done_ && taken < bytes.size()) {
         if (in_message_) {
-            // The guard first: not a byte of a body goes on that is not chunked as the grammar has it.
+            // The guard first: not a byte of a body goes on that is not chunked as the grammar has
+            // it.
             if (head_.chunked)
-                if (auto f = chunks_.look(bytes.substr(taken), kind_ == Kind::request ? 400 : 502)) {
+                if (auto f =
+                        chunks_.look(bytes.substr(taken), kind_ == Kind::request ? 400 : 502)) {
                     fault(*f);
                     continue;
                 }
@@ -78,10 +83,12 @@
         }
         const std::size_t from = kept_.size();
         // No more is kept than a head may have, whatever comes in one piece.
-        const std::string_view piece = bytes.substr(taken, limits_.head + 1 - std::min(limits_.head, from));
+        const std::string_view piece =
+            bytes.substr(taken, limits_.head + 1 - std::min(limits_.head, from));
         kept_.append(piece);
         std::size_t empty_lines = 0;  // RFC 9112 2.2: before a request they are passed over
-        while (kind_ == Kind::request && std::string_view(kept_).substr(empty_lines).starts_with("\r\n"))
+        while (kind_ == Kind::request &&
+               std::string_view(kept_).substr(empty_lines).starts_with("\r\n"))
             empty_lines += 2;
         kept_.erase(0, empty_lines);
         const std::size_t end = head_end(kept_, from - std::min(from, empty_lines));
@@ -98,8 +105,8 @@
         }
         head_ = Head{}, chunks_ = ChunkGuard{};
         if (kind_ == Kind::request) {
-            // http-parser knows some methods, and changes its ways for CONNECT; which are fit is not its to
-            // say.
+            // http-parser knows some methods, and changes its ways for CONNECT; which are fit is
+            // not its to say.
             head_.method = head.substr(0, head.find(' '));
             head.replace(0, head_.method.size(), "POST");
         }
--- a/src/log/descriptor_writer.cpp
+++ b/src/log/descriptor_writer.cpp
@@ -15,8 +15,8 @@
 namespace {
 constexpr int interrupted_most = 8;  // tries of a call that signals interrupt
 
-// The same pipe or terminal under a description of its own: not to wait would else hold for everybody who
-// shares the one that was handed in.
+// The same pipe or terminal under a description of its own: not to wait would else hold for
+// everybody who shares the one that was handed in.
 int reopened(int descriptor) {
     const std::string name = "/proc/self/fd/" + std::to_string(descriptor);
     return ::open(name.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC | O_NOCTTY);
@@ -28,8 +28,10 @@
     : descriptor_(descriptor), owned_(owned), dropped_line_(std::move(dropped_line)) {
     struct stat about {};
     if (::fstat(descriptor, &about) != 0) return;
-    if (S_ISREG(about.st_mode)) kind_ = Kind::file;
-    else if (S_ISSOCK(about.st_mode)) kind_ = Kind::socket;
+    if (S_ISREG(about.st_mode))
+        kind_ = Kind::file;
+    else if (S_ISSOCK(about.st_mode))
+        kind_ = Kind::socket;
     else if (S_ISFIFO(about.st_mode) || S_ISCHR(about.st_mode))
         if (const int own = reopened(descriptor); own >= 0) {
             if (owned_) ::close(descriptor_);
--- a/src/log/descriptor_writer.h
+++ b/src/log/descriptor_writer.h
@@ -1,5 +1,6 @@
-// Writes whole lines to a descriptor without ever waiting for its reader: what does not fit is dropped and
-// counted, and the count is told with the next line that fits. A regular file may still wait for its disk.
+// Writes whole lines to a descriptor without ever waiting for its reader: what does not fit is
+// dropped and counted, and the count is told with the next line that fits. A regular file may still
+// wait for its disk.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +12,10 @@
 
 class DescriptorWriter {
   public:
-    // `owned` descriptors are closed at the end. `dropped_line` words the line that tells of dropped ones.
-    DescriptorWriter(int descriptor, bool owned, std::function<std::string(std::uint64_t)> dropped_line);
+    // `owned` descriptors are closed at the end. `dropped_line` words the line that tells of
+    // dropped ones.
+    DescriptorWriter(int descriptor, bool owned,
+                     std::function<std::string(std::uint64_t)> dropped_line);
     ~DescriptorWriter();
     DescriptorWriter(const DescriptorWriter&) = delete;
     DescriptorWriter& operator=(const DescriptorWriter&) = delete;
@@ -21,8 +24,14 @@
     std::uint64_t dropped() const { return dropped_; }  // lines that were not told of yet
 
   private:
-    enum class Kind { file, pipe, socket, unknown };
-    bool put(std::string_view line);  // whole, or its rest kept for later; false: nothing of it went out
+    enum class Kind {
+        file,
+        pipe,
+        socket,
+        unknown
+    };
+    bool put(
+        std::string_view line);  // whole, or its rest kept for later; false: nothing of it went out
     long write_some(std::string_view bytes) const;
 
     int descriptor_;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -40,15 +40,18 @@
 }
 // Words the line that tells how many were dropped, in the log's own form.
 std::string dropped_line(Form form, std::uint64_t lines) {
-    const std::string line = line_of(form, "log_dropped", {{"lines", static_cast<std::int64_t>(lines)}});
-    if (form == Form::json) return R"({"time":")" + time_now() + R"(","level":"warning",)" + line + "}\n";
+    const std::string line =
+        line_of(form, "log_dropped", {{"lines", static_cast<std::int64_t>(lines)}});
+    if (form == Form::json)
+        return R"({"time":")" + time_now() + R"(","level":"warning",)" + line + "}\n";
     return time_now() + " W " + line + "\n";
 }
 
 class LineSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
   public:
     LineSink(int descriptor, bool owned, Form form)
-        : writer_(descriptor, owned, [form](std::uint64_t lines) { return dropped_line(form, lines); }) {}
+        : writer_(descriptor, owned,
+                  [form](std::uint64_t lines) { return dropped_line(form, lines); }) {}
 
   protected:
     void sink_it_(const spdlog::details::log_msg& message) override {
@@ -68,15 +71,19 @@
 }  // namespace
 
 std::string line_of(Form form, std::string_view event, const Fields& fields) {
-    std::string out = form == Form::json ? "\"event\":" + quoted(std::string(event)) : std::string(event);
+    std::string out =
+        form == Form::json ? "\"event\":" + quoted(std::string(event)) : std::string(event);
     for (const auto& [name, value] : fields) {
-        if (form == Form::json) out.append(",\"").append(name).append("\":");
-        else out.append(" ").append(name).append("=");
+        if (form == Form::json)
+            out.append(",\"").append(name).append("\":");
+        else
+            out.append(" ").append(name).append("=");
         if (const auto* text = std::get_if<std::string>(&value)) {
-            const bool plain = !text->empty() &&
-                               text->find_first_not_of(
-                                   "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_./:@") ==
-                                   std::string::npos;
+            const bool plain =
+                !text->empty() &&
+                text->find_first_not_of(
+                    "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_./:@") ==
+                    std::string::npos;
             out += form == Form::readable && plain ? *text : quoted(*text);
         } else if (const auto* number = std::get_if<std::int64_t>(&value)) {
             out += std::to_string(*number);
@@ -90,22 +97,29 @@
 Log::Log(Form form, Level least, const std::string& file) : form_(form) {
     const bool to_file = !file.empty();
     const int descriptor =
-        to_file ? ::open(file.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, file_mode) : STDERR_FILENO;
+        to_file ? ::open(file.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, file_mode)
+                : STDERR_FILENO;
     if (descriptor < 0) throw std::runtime_error(file + ": " + std::strerror(errno));
-    logger_ = std::make_shared<spdlog::logger>("silverreach",
-                                               std::make_shared<LineSink>(descriptor, to_file, form));
+    logger_ = std::make_shared<spdlog::logger>(
+        "silverreach", std::make_shared<LineSink>(descriptor, to_file, form));
     logger_->set_pattern(form == Form::json ? R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})"
                                             : "%Y-%m-%dT%H:%M:%S.%eZ %L %v",
                          spdlog::pattern_time_type::utc);
     logger_->set_level(level_of(least));
 }
-Log::~Log() { flush(); }
+Log::~Log() {
+    flush();
+}
 
-bool Log::wants(Level level) const { return logger_->should_log(level_of(level)); }
+bool Log::wants(Level level) const {
+    return logger_->should_log(level_of(level));
+}
 void Log::write(Level level, std::string_view event, const Fields& fields) {
     if (!wants(level)) return;
     logger_->log(level_of(level), "{}", line_of(form_, event, fields));
 }
-void Log::flush() { logger_->flush(); }
+void Log::flush() {
+    logger_->flush();
+}
 
 }  // namespace silverreach::log
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -14,15 +14,23 @@
 
 namespace silverreach::log {
 
-enum class Form { readable, json };
-enum class Level { debug, info, warning, error };
+enum class Form {
+    readable,
+    json
+};
+enum class Level {
+    debug,
+    info,
+    warning,
+    error
+};
 using FieldValue = std::variant<std::string, std::int64_t, double>;
 using Fields = std::vector<std::pair<std::string_view, FieldValue>>;
 
 class Log {
   public:
-    // To the file, or to standard error where none is named. Throws std::runtime_error where it cannot be
-    // opened.
+    // To the file, or to standard error where none is named. Throws std::runtime_error where it
+    // cannot be opened.
     Log(Form form, Level least, const std::string& file);
     ~Log();
     bool wants(Level level) const;  // whether a line of that level would be written
--- a/src/openapi/description.cpp
+++ b/src/openapi/description.cpp
@@ -22,12 +22,16 @@
 class Loader {
   public:
     Loader(const std::string& file, const Policy& policy, std::vector<Problem>& problems)
-        : file_(file), policy_(policy), problems_(problems), description_(std::make_shared<Description>()) {}
+        : file_(file),
+          policy_(policy),
+          problems_(problems),
+          description_(std::make_shared<Description>()) {}
 
     std::shared_ptr<const Description> run(const Value& root) {
         const std::size_t before = problems_.size();
         root_ = &root;
-        if (!root.is(Kind::mapping)) return problem(root, "document", "a mapping with 'openapi'"), nullptr;
+        if (!root.is(Kind::mapping))
+            return problem(root, "document", "a mapping with 'openapi'"), nullptr;
         const std::string version = scalar(root, "openapi", "");
         if (!version.starts_with("3.0.") && !version.starts_with("3.1."))
             problem(at(root, "openapi"), "openapi",
@@ -41,7 +45,8 @@
         const std::vector<std::string> bases = read_servers(root, {""}, "servers");
         const Value* paths = root.find("paths");
         if (!paths || !paths->is(Kind::mapping)) {
-            // 3.1 lets a description hold webhooks or components alone; a gateway then has nothing to route.
+            // 3.1 lets a description hold webhooks or components alone; a gateway then has nothing
+            // to route.
             problem(paths ? *paths : root, "paths", "a mapping of path to operations");
         } else {
             for (const auto& [path, item] : paths->members)
@@ -68,8 +73,8 @@
         return fallback;
     }
 
-    // Follows $ref within this file; nullptr and a problem where it leads nowhere, outside or round in a
-    // circle.
+    // Follows $ref within this file; nullptr and a problem where it leads nowhere, outside or round
+    // in a circle.
     const Value* resolve(const Value& value, const std::string& field) {
         const Value* now = &value;
         for (int steps = 0; steps < most_references; ++steps) {
@@ -81,7 +86,8 @@
             }
             const Value* target = pointer(std::string_view(ref->text).substr(1));
             if (!target) {
-                problem(*ref, field + ".$ref", fmt::format("a place in this file, '{}' is none", ref->text));
+                problem(*ref, field + ".$ref",
+                        fmt::format("a place in this file, '{}' is none", ref->text));
                 return nullptr;
             }
             now = target;
@@ -99,9 +105,9 @@
             std::string token = decode_pointer(path.substr(0, end));
             path.remove_prefix(end);
             if (now->is(Kind::sequence)) {
-                const bool digits =
-                    !token.empty() && token.size() < 9 &&
-                    std::all_of(token.begin(), token.end(), [](char c) { return c >= '0' && c <= '9'; });
+                const bool digits = !token.empty() && token.size() < 9 &&
+                                    std::all_of(token.begin(), token.end(),
+                                                [](char c) { return c >= '0' && c <= '9'; });
                 const std::size_t i = digits ? std::stoul(token) : now->items.size();
                 now = i < now->items.size() ? &now->items[i] : nullptr;
             } else {
@@ -113,7 +119,8 @@
     static std::string decode_pointer(std::string_view token) {
         std::string out;
         for (std::size_t i = 0; i < token.size(); ++i) {
-            if (token[i] == '~' && i + 1 < token.size() && (token[i + 1] == '0' || token[i + 1] == '1'))
+            if (token[i] == '~' && i + 1 < token.size() &&
+                (token[i + 1] == '0' || token[i + 1] == '1'))
                 out.push_back(token[++i] == '0' ? '~' : '/');
             else if (token[i] == '%' && i + 2 < token.size()) {
                 const auto decoded = decode_segment(token.substr(i, 3));
@@ -121,12 +128,14 @@
                        : (token.substr(i, 3) == "%2F" || token.substr(i, 3) == "%2f") ? "/"
                                                                                       : "";
                 i += 2;
-            } else out.push_back(token[i]);
+            } else
+                out.push_back(token[i]);
         }
         return out;
     }
 
-    // ---- servers -----------------------------------------------------------------------------------------
+    // ---- servers
+    // -----------------------------------------------------------------------------------------
 
     std::vector<std::string> read_servers(const Value& owner, std::vector<std::string> inherited,
                                           const std::string& field) {
@@ -144,8 +153,10 @@
                 strip_authority(base);
                 const bool plain = base.empty() || check_path(base) == PathFault::none;
                 if (!plain || base.find_first_of("{}?#") != std::string::npos)
-                    problem(*url, field + "[].url", fmt::format("a URL whose path is plain, not '{}'", base));
-                else if (std::find(bases.begin(), bases.end(), base) == bases.end()) bases.push_back(base);
+                    problem(*url, field + "[].url",
+                            fmt::format("a URL whose path is plain, not '{}'", base));
+                else if (std::find(bases.begin(), bases.end(), base) == bases.end())
+                    bases.push_back(base);
             }
         }
         if (bases.empty()) bases.push_back("");  // an empty list counts as [{url: /}]
@@ -156,11 +167,13 @@
             const std::size_t path = url.find('/', scheme + 3);
             url = path == std::string::npos ? "" : url.substr(path);
         }
-        while (!url.empty() && url.back() == '/') url.pop_back();
+        while (!url.empty() && url.back() == '/')
+            url.pop_back();
         if (!url.empty() && url.front() != '/') url.insert(0, "/");
     }
     // A URL for each value that its variables can take: `enum` where given, else the default.
-    std::vector<std::string> expand(const Value& server, const std::string& url, const std::string& field) {
+    std::vector<std::string> expand(const Value& server, const std::string& url,
+                                    const std::string& field) {
         std::vector<std::string> urls{url};
         std::size_t from = 0;
         while (true) {
@@ -175,23 +188,27 @@
             const Value* variable = variables ? variables->find(name) : nullptr;
             std::vector<std::string> values;
             if (const Value* list = variable ? variable->find("enum") : nullptr)
-                for (const Value& item : list->items) values.push_back(item.text);
+                for (const Value& item : list->items)
+                    values.push_back(item.text);
             else if (const Value* fallback = variable ? variable->find("default") : nullptr)
                 values.push_back(fallback->text);
             if (values.empty()) {
-                problem(server, fmt::format("{}[].variables.{}", field, name), "a default or an enum");
+                problem(server, fmt::format("{}[].variables.{}", field, name),
+                        "a default or an enum");
                 values.push_back("x");
             }
             std::vector<std::string> next;
             for (const std::string& base : urls)
                 for (const std::string& value : values) {
                     std::string text = base;
-                    for (std::size_t i = text.find(braces); i != std::string::npos; i = text.find(braces, i))
+                    for (std::size_t i = text.find(braces); i != std::string::npos;
+                         i = text.find(braces, i))
                         text.replace(i, braces.size(), value), i += value.size();
                     next.push_back(std::move(text));
                 }
             if (next.size() > most_bases) {
-                problem(server, field, fmt::format("{} URLs at most from its variables", most_bases));
+                problem(server, field,
+                        fmt::format("{} URLs at most from its variables", most_bases));
                 return {""};
             }
             urls = std::move(next);
@@ -204,7 +221,8 @@
         }
     }
 
-    // ---- security ----------------------------------------------------------------------------------------
+    // ---- security
+    // ----------------------------------------------------------------------------------------
 
     void read_schemes() {
         const Value* components = root_->find("components");
@@ -219,11 +237,16 @@
             if (type == "apiKey") {
                 const std::string in = scalar(*scheme, "in", "");
                 carrier.name = scalar(*scheme, "name", "");
-                if (in == "header") carrier.place = Place::header;
-                else if (in == "query") carrier.place = Place::query;
-                else if (in == "cookie") carrier.place = Place::cookie;
-                else problem(at(*scheme, "in"), field + ".in", "header, query or cookie");
-                if (carrier.name.empty()) problem(*scheme, field + ".name", "the name that carries the key");
+                if (in == "header")
+                    carrier.place = Place::header;
+                else if (in == "query")
+                    carrier.place = Place::query;
+                else if (in == "cookie")
+                    carrier.place = Place::cookie;
+                else
+                    problem(at(*scheme, "in"), field + ".in", "header, query or cookie");
+                if (carrier.name.empty())
+                    problem(*scheme, field + ".name", "the name that carries the key");
                 schemes_[name] = carrier;
             } else if (type == "http") {
                 std::string how = scalar(*scheme, "scheme", "");
@@ -252,17 +275,22 @@
             for (const auto& [name, scopes] : alternative.members) {
                 const auto it = schemes_.find(name);
                 if (it == schemes_.end())
-                    problem(scopes, field + ".security." + name, "a name of components.securitySchemes");
-                else if (it->second && !usable) usable = it->second;
+                    problem(scopes, field + ".security." + name,
+                            "a name of components.securitySchemes");
+                else if (it->second && !usable)
+                    usable = it->second;
             }
-            if (usable && std::find(route.keys.begin(), route.keys.end(), *usable) == route.keys.end())
+            if (usable &&
+                std::find(route.keys.begin(), route.keys.end(), *usable) == route.keys.end())
                 route.keys.push_back(*usable);
         }
         if (!route.anonymous && route.keys.empty())
-            problem(*security, field + ".security", "an apiKey or http bearer scheme among the alternatives");
+            problem(*security, field + ".security",
+                    "an apiKey or http bearer scheme among the alternatives");
     }
 
-    // ---- operations --------------------------------------------------------------------------------------
+    // ---- operations
+    // --------------------------------------------------------------------------------------
 
     struct Parameter {
         Carrier carrier;
@@ -277,18 +305,21 @@
         for (const Value& raw : list->items) {
             const Value* parameter = resolve(raw, field + ".parameters[]");
             if (!parameter) continue;
-            const std::string name = scalar(*parameter, "name", ""), in = scalar(*parameter, "in", "");
+            const std::string name = scalar(*parameter, "name", ""),
+                              in = scalar(*parameter, "in", "");
             static const std::map<std::string, Place> places = {{"header", Place::header},
                                                                 {"query", Place::query},
                                                                 {"cookie", Place::cookie},
                                                                 {"path", Place::path}};
             const auto place = places.find(in);
             if (name.empty() || place == places.end()) {
-                problem(*parameter, field + ".parameters[]", "a name, and in: header, query, cookie or path");
+                problem(*parameter, field + ".parameters[]",
+                        "a name, and in: header, query, cookie or path");
                 continue;
             }
             Parameter p{{place->second, name, false}, false};
-            if (const Value* required = parameter->find("required"); required && !required->as(p.required))
+            if (const Value* required = parameter->find("required");
+                required && !required->as(p.required))
                 problem(*required, field + ".parameters[].required", "true or false");
             into[{in, lower_if_header(in, name)}] = p;
         }
@@ -300,7 +331,8 @@
         return name;
     }
 
-    void read_path(const std::string& path, const Value& raw, const std::vector<std::string>& bases) {
+    void read_path(const std::string& path, const Value& raw,
+                   const std::vector<std::string>& bases) {
         const Value* item = resolve(raw, path);
         if (!item) return;
         if (!item->is(Kind::mapping)) return problem(raw, path, "a mapping of method to operation");
@@ -332,7 +364,8 @@
         }
     }
 
-    bool check_template(const std::string& path, const Value& where, std::vector<std::string>& names) {
+    bool check_template(const std::string& path, const Value& where,
+                        std::vector<std::string>& names) {
         if (path.empty() || path.front() != '/')
             return problem(where, path, "a path that starts with '/'"), false;
         std::size_t open = std::string::npos;
@@ -381,9 +414,9 @@
         return fmt::format("{}:{}", found.level, found.value->line);
     }
 
-    void read_operation(Method method, const std::string& path, const Value& item, const Value& operation,
-                        const Parameters& parameters, const std::vector<std::string>& bases,
-                        const std::string& field) {
+    void read_operation(Method method, const std::string& path, const Value& item,
+                        const Value& operation, const Parameters& parameters,
+                        const std::vector<std::string>& bases, const std::string& field) {
         Route route;
         route.method = method, route.line = operation.line;
         route.operation = scalar(operation, "operationId", "");
@@ -397,12 +430,13 @@
             placed.path = base + path;
             if (const Route* same = description_->table.add(std::move(placed)))
                 problem(operation, field,
-                        fmt::format("another path; the same one stands at line {} as {}", same->line,
-                                    same->path));
+                        fmt::format("another path; the same one stands at line {} as {}",
+                                    same->line, same->path));
         }
     }
 
-    void read_class(Route& route, const Value& operation, const Value& item, const std::string& field) {
+    void read_class(Route& route, const Value& operation, const Value& item,
+                    const std::string& field) {
         const Found found = nearest("class", operation, item);
         if (!found.value) {
             if (policy_.reject_unpriced)
@@ -415,18 +449,19 @@
         if (!found.value->is(Kind::scalar) || route.request_class.empty())
             problem(*found.value, field + " x-silverreach-class", "a class name");
         else if (!policy_.classes.empty() && !policy_.classes.count(route.request_class))
-            problem(
-                *found.value, field + " x-silverreach-class",
-                fmt::format("one of {}, not '{}'", fmt::join(policy_.classes, ", "), route.request_class));
+            problem(*found.value, field + " x-silverreach-class",
+                    fmt::format("one of {}, not '{}'", fmt::join(policy_.classes, ", "),
+                                route.request_class));
     }
 
-    void read_units(Route& route, const Value& operation, const Value& item, const Parameters& parameters,
-                    const std::string& field) {
+    void read_units(Route& route, const Value& operation, const Value& item,
+                    const Parameters& parameters, const std::string& field) {
         const Found fixed = nearest("units", operation, item);
         const Found from = nearest("units-from", operation, item);
         if (fixed.value) {
             route.units_origin = origin(fixed);
-            if (!fixed.value->as(route.units) || route.units < 0 || route.units > policy_.most_units)
+            if (!fixed.value->as(route.units) || route.units < 0 ||
+                route.units > policy_.most_units)
                 problem(*fixed.value, field + " x-silverreach-units",
                         fmt::format("a number from 0 to {}", policy_.most_units));
         } else if (policy_.reject_unpriced) {
@@ -443,32 +478,39 @@
                            "{in: header|query|path, name: NAME}");
         const auto it = parameters.find({place, lower_if_header(place, name->text)});
         if (it == parameters.end())
-            return problem(*from.value, field + " x-silverreach-units-from",
-                           fmt::format("a {} parameter '{}' that the operation declares", place, name->text));
+            return problem(
+                *from.value, field + " x-silverreach-units-from",
+                fmt::format("a {} parameter '{}' that the operation declares", place, name->text));
         route.units_from = it->second.carrier;
         route.units_origin += fmt::format("; {} {} {}", place, name->text, origin(from));
     }
 
-    // RFC 9110: safe methods and idempotent ones may be repeated; with a key the hosts drop repeats; the rest
-    // must not run twice.
-    void read_effect(Route& route, const Value& operation, const Value& item, const Parameters& parameters,
-                     const std::string& field) {
+    // RFC 9110: safe methods and idempotent ones may be repeated; with a key the hosts drop
+    // repeats; the rest must not run twice.
+    void read_effect(Route& route, const Value& operation, const Value& item,
+                     const Parameters& parameters, const std::string& field) {
         const auto key = parameters.find({"header", "idempotency-key"});
         const bool has_key = key != parameters.end();
         route.key_required = has_key && key->second.required;
         const bool repeatable = route.method != Method::post && route.method != Method::patch;
-        route.effect = repeatable ? Effect::safe : has_key ? Effect::keyed : Effect::unsafe;
+        route.effect = repeatable ? Idempotency::idempotent
+                       : has_key  ? Idempotency::idempotency_key
+                                  : Idempotency::non_idempotent;
         route.effect_origin = repeatable ? "method" : has_key ? "Idempotency-Key" : "method";
         const Found found = nearest("effect", operation, item);
         if (!found.value) return;
         route.effect_origin = origin(found);
-        if (found.value->text == "safe") route.effect = Effect::safe;
-        else if (found.value->text == "unsafe") route.effect = Effect::unsafe;
-        else if (found.value->text == "keyed" && has_key) route.effect = Effect::keyed;
+        if (found.value->text == "safe")
+            route.effect = Idempotency::idempotent;
+        else if (found.value->text == "unsafe")
+            route.effect = Idempotency::non_idempotent;
+        else if (found.value->text == "keyed" && has_key)
+            route.effect = Idempotency::idempotency_key;
         else if (found.value->text == "keyed")
             problem(*found.value, field + " x-silverreach-effect",
                     "a header parameter Idempotency-Key beside 'keyed'; hosts drop repeats by it");
-        else problem(*found.value, field + " x-silverreach-effect", "safe, keyed or unsafe");
+        else
+            problem(*found.value, field + " x-silverreach-effect", "safe, keyed or unsafe");
     }
 
     const std::string& file_;
@@ -476,7 +518,8 @@
     std::vector<Problem>& problems_;
     std::shared_ptr<Description> description_;
     const Value* root_ = nullptr;
-    std::map<std::string, std::optional<Carrier>> schemes_;  // nothing: known, but no key to be read from it
+    std::map<std::string, std::optional<Carrier>>
+        schemes_;  // nothing: known, but no key to be read from it
 };
 
 std::string carriers_text(const Route& route) {
@@ -489,8 +532,8 @@
 }
 }  // namespace
 
-std::shared_ptr<const Description> load(std::string_view text, const std::string& file, const Policy& policy,
-                                        std::vector<Problem>& problems) {
+std::shared_ptr<const Description> load(std::string_view text, const std::string& file,
+                                        const Policy& policy, std::vector<Problem>& problems) {
     Value root;
     if (!parse(text, file, root, problems)) return nullptr;
     return Loader(file, policy, problems).run(root);
@@ -503,12 +546,14 @@
     for (const auto& r : description.table.routes())
         rows.push_back({std::string(method_names[static_cast<std::size_t>(r->method)]), r->path,
                         r->request_class, fmt::format("{:g}{}", r->units, r->units_from ? "*" : ""),
-                        std::string(effects[static_cast<std::size_t>(r->effect)]), carriers_text(*r),
-                        fmt::format("class {}, units {}, effect {}", r->class_origin, r->units_origin,
-                                    r->effect_origin)});
+                        std::string(effects[static_cast<std::size_t>(r->effect)]),
+                        carriers_text(*r),
+                        fmt::format("class {}, units {}, effect {}", r->class_origin,
+                                    r->units_origin, r->effect_origin)});
     std::array<std::size_t, 7> widths{};
     for (const auto& row : rows)
-        for (std::size_t i = 0; i < row.size(); ++i) widths[i] = std::max(widths[i], row[i].size());
+        for (std::size_t i = 0; i < row.size(); ++i)
+            widths[i] = std::max(widths[i], row[i].size());
     std::string out;
     for (const auto& row : rows) {
         for (std::size_t i = 0; i < row.size(); ++i)
--- a/src/openapi/description.h
+++ b/src/openapi/description.h
@@ -3,8 +3,8 @@
 // Extensions, on an operation, a path item or the root, the nearest winning:
 //   x-silverreach-class: NAME            the class of requests
 //   x-silverreach-units: NUMBER          the units that a request draws from the quota
-//   x-silverreach-units-from: {in: header|query|path, name: NAME}   where the request itself tells them
-//   x-silverreach-effect: safe|keyed|unsafe
+//   x-silverreach-units-from: {in: header|query|path, name: NAME}   where the request itself tells
+//   them x-silverreach-effect: safe|keyed|unsafe
 #pragma once
 
 #include <memory>
@@ -21,7 +21,8 @@
 // The operator's policy for what a description leaves out.
 struct Policy {
     std::set<std::string> classes;  // known ones; empty: any name is taken
-    bool reject_unpriced = true;    // an operation without class or units is an error, else these count:
+    bool reject_unpriced =
+        true;  // an operation without class or units is an error, else these count:
     std::string default_class;
     double default_units = 1;
     double most_units = 4095;  // what a message between gateways can carry
@@ -34,8 +35,8 @@
 };
 
 // Nothing and every problem found where the text cannot be used.
-std::shared_ptr<const Description> load(std::string_view text, const std::string& file, const Policy& policy,
-                                        std::vector<Problem>& problems);
+std::shared_ptr<const Description> load(std::string_view text, const std::string& file,
+                                        const Policy& policy, std::vector<Problem>& problems);
 
 // The routes as a table for people.
 std::string table_text(const Description& description);
--- a/src/openapi/document.cpp
+++ b/src/openapi/document.cpp
@@ -41,7 +41,8 @@
                 into.kind = Value::Kind::sequence;
                 into.items.resize(node.size());
                 for (std::size_t i = 0; const auto& item : node)
-                    if (!convert(item, into.items[i++], depth + 1) && values > most_values) return false;
+                    if (!convert(item, into.items[i++], depth + 1) && values > most_values)
+                        return false;
                 return whole;
             case YAML::NodeType::Map:
                 return members(node, into, depth);
@@ -92,9 +93,12 @@
 
 void Value::index() {
     if (members.size() > large)
-        for (std::size_t i = 0; i < members.size(); ++i) places_.emplace(members[i].first, i);
-    for (Value& item : items) item.index();
-    for (auto& [name, value] : members) value.index();
+        for (std::size_t i = 0; i < members.size(); ++i)
+            places_.emplace(members[i].first, i);
+    for (Value& item : items)
+        item.index();
+    for (auto& [name, value] : members)
+        value.index();
 }
 
 bool Value::as(bool& out) const {
@@ -112,9 +116,10 @@
     return true;
 }
 
-bool parse(std::string_view text, const std::string& file, Value& into, std::vector<Problem>& problems) {
-    // JSON is read by the YAML parser too, which knows lines; a JSON parser first refuses what only YAML
-    // allows.
+bool parse(std::string_view text, const std::string& file, Value& into,
+           std::vector<Problem>& problems) {
+    // JSON is read by the YAML parser too, which knows lines; a JSON parser first refuses what only
+    // YAML allows.
     const std::size_t first = text.find_first_not_of(" \t\r\n");
     if (first != std::string_view::npos && (text[first] == '{' || text[first] == '[')) {
         try {
@@ -122,7 +127,8 @@
         } catch (const nlohmann::json::parse_error& error) {
             const auto upto = text.substr(0, std::min(text.size(), error.byte));
             const int line = 1 + static_cast<int>(std::count(upto.begin(), upto.end(), '\n'));
-            problems.push_back({file, line, "document", fmt::format("valid JSON ({})", error.what())});
+            problems.push_back(
+                {file, line, "document", fmt::format("valid JSON ({})", error.what())});
             return false;
         }
     }
@@ -130,7 +136,8 @@
         const std::vector<YAML::Node> documents = YAML::LoadAll(std::string(text));
         if (documents.size() != 1) {
             problems.push_back(
-                {file, 0, "document", fmt::format("one YAML or JSON document, not {}", documents.size())});
+                {file, 0, "document",
+                 fmt::format("one YAML or JSON document, not {}", documents.size())});
             return false;
         }
         Converter converter{file, problems};
--- a/src/openapi/document.h
+++ b/src/openapi/document.h
@@ -1,5 +1,5 @@
-// A YAML or JSON text as a plain tree with line numbers. Bounded in depth and size, so that aliases cannot
-// blow it up. No I/O.
+// A YAML or JSON text as a plain tree with line numbers. Bounded in depth and size, so that aliases
+// cannot blow it up. No I/O.
 #pragma once
 
 #include <string>
@@ -21,7 +21,12 @@
 
 class Value {
   public:
-    enum class Kind { null, scalar, sequence, mapping };
+    enum class Kind {
+        null,
+        scalar,
+        sequence,
+        mapping
+    };
     Kind kind = Kind::null;
     std::string text;  // of a scalar
     bool quoted = false;
@@ -41,8 +46,9 @@
     std::unordered_map<std::string_view, std::size_t> places_;  // of large mappings only
 };
 
-// Parses one document. Nothing and problems appended where it is malformed, holds a name twice, nests deeper
-// than 64 or has more than 2,000,000 values.
-bool parse(std::string_view text, const std::string& file, Value& into, std::vector<Problem>& problems);
+// Parses one document. Nothing and problems appended where it is malformed, holds a name twice,
+// nests deeper than 64 or has more than 2,000,000 values.
+bool parse(std::string_view text, const std::string& file, Value& into,
+           std::vector<Problem>& problems);
 
 }  // namespace silverreach::openapi
--- a/src/openapi/route.cpp
+++ b/src/openapi/route.cpp
@@ -12,7 +12,9 @@
 }
 struct ViewHash {
     using is_transparent = void;
-    std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>()(text); }
+    std::size_t operator()(std::string_view text) const {
+        return std::hash<std::string_view>()(text);
+    }
 };
 std::string_view next_segment(std::string_view& path) {
     path.remove_prefix(1);  // the slash
@@ -41,18 +43,21 @@
         std::unique_ptr<Node> next;
         std::size_t fixed() const {
             std::size_t sum = 0;
-            for (const std::string& l : literals) sum += l.size();
+            for (const std::string& l : literals)
+                sum += l.size();
             return sum;
         }
         // The text between the literals, each value not empty; the leftmost fit.
         bool fits(std::string_view text, std::vector<std::string>& values) const {
-            if (text.size() < literals.front().size() || !text.starts_with(literals.front())) return false;
+            if (text.size() < literals.front().size() || !text.starts_with(literals.front()))
+                return false;
             text.remove_prefix(literals.front().size());
             const std::size_t before = values.size();
             for (std::size_t i = 1; i < literals.size(); ++i) {
                 const bool last = i + 1 == literals.size();
                 std::size_t at = std::string_view::npos;
-                if (!last) at = text.size() < 2 ? at : text.find(literals[i], 1);
+                if (!last)
+                    at = text.size() < 2 ? at : text.find(literals[i], 1);
                 else if (text.size() > literals[i].size() && text.ends_with(literals[i]))
                     at = text.size() - literals[i].size();
                 if (at == std::string_view::npos || at == 0) return values.resize(before), false;
@@ -67,7 +72,8 @@
     std::array<const Route*, method_names.size()> routes{};
     std::array<std::vector<std::string>, method_names.size()> names;
     bool ends() const {
-        return std::any_of(routes.begin(), routes.end(), [](const Route* r) { return r != nullptr; });
+        return std::any_of(routes.begin(), routes.end(),
+                           [](const Route* r) { return r != nullptr; });
     }
 };
 
--- a/src/openapi/route.h
+++ b/src/openapi/route.h
@@ -15,12 +15,26 @@
 namespace silverreach::openapi {
 
 // The methods an OpenAPI path item can describe.
-enum class Method { get, put, post, del, options, head, patch, trace };
-inline constexpr std::array<std::string_view, 8> method_names = {"GET",     "PUT",  "POST",  "DELETE",
-                                                                 "OPTIONS", "HEAD", "PATCH", "TRACE"};
+enum class Method {
+    get,
+    put,
+    post,
+    del,
+    options,
+    head,
+    patch,
+    trace
+};
+inline constexpr std::array<std::string_view, 8> method_names = {
+    "GET", "PUT", "POST", "DELETE", "OPTIONS", "HEAD", "PATCH", "TRACE"};
 std::optional<Method> method_of(std::string_view name);  // as HTTP writes it, case counts
 
-enum class Place { header, query, cookie, path };
+enum class Place {
+    header,
+    query,
+    cookie,
+    path
+};
 std::string_view to_string(Place place);
 
 // Where a request carries something: an account's key, or its units.
@@ -38,7 +52,7 @@
     std::string request_class;
     double units = 1;
     std::optional<Carrier> units_from;  // overrides `units` where the request has it
-    Effect effect = Effect::safe;
+    Idempotency effect = Idempotency::idempotent;
     bool key_required = false;  // the request must carry Idempotency-Key
     std::vector<Carrier> keys;  // where the account's key may be, first match wins
     bool anonymous = true;      // a request without a key is taken
@@ -46,14 +60,14 @@
     int line = 0;                                           // of the operation
 };
 
-// Path templates in a tree by segment: literals before templates, as the specification orders; a look-up's
-// cost grows with the path's length only.
+// Path templates in a tree by segment: literals before templates, as the specification orders; a
+// look-up's cost grows with the path's length only.
 class RouteTable {
   public:
     RouteTable();
     ~RouteTable();
-    // Returns the route that has the same method and the same template but for names; nullptr where it was
-    // added.
+    // Returns the route that has the same method and the same template but for names; nullptr where
+    // it was added.
     const Route* add(Route route);
     const std::vector<std::unique_ptr<Route>>& routes() const { return routes_; }
 
@@ -63,20 +77,26 @@
         std::vector<Method> allowed;
         std::vector<std::pair<std::string, std::string>> parameters;
     };
-    // `path`: absolute, without query, not normalized: dot segments are the caller's to refuse. A GET route
-    // also takes HEAD.
+    // `path`: absolute, without query, not normalized: dot segments are the caller's to refuse. A
+    // GET route also takes HEAD.
     Found find(Method method, std::string_view path) const;
 
   private:
     struct Node;
-    const Node* walk(const Node& node, std::string_view path, std::vector<std::string>& values) const;
+    const Node* walk(const Node& node, std::string_view path,
+                     std::vector<std::string>& values) const;
     std::unique_ptr<Node> root_;
     std::vector<std::unique_ptr<Route>> routes_;
 };
 
 // Percent-decodes; nothing for a malformed escape, or one that stands for '/', '\' or NUL.
 std::optional<std::string> decode_segment(std::string_view segment);
-enum class PathFault { none, not_absolute, bad_escape, dot_segment };
+enum class PathFault {
+    none,
+    not_absolute,
+    bad_escape,
+    dot_segment
+};
 // Paths that different programs read differently are refused, never mended.
 PathFault check_path(std::string_view path);
 
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -16,7 +16,8 @@
 constexpr int receives_a_turn = 64;
 
 void put(std::string& out, std::uint32_t value, int bytes) {
-    for (int i = bytes - 1; i >= 0; --i) out.push_back(static_cast<char>(value >> (8 * i) & 0xFF));
+    for (int i = bytes - 1; i >= 0; --i)
+        out.push_back(static_cast<char>(value >> (8 * i) & 0xFF));
 }
 std::uint32_t get(std::string_view in, std::size_t at, int bytes) {
     std::uint32_t value = 0;
@@ -24,12 +25,15 @@
         value = value << 8 | static_cast<unsigned char>(in[at + static_cast<std::size_t>(i)]);
     return value;
 }
-std::uint32_t fleet_hash(std::string_view fleet) { return XXH32(fleet.data(), fleet.size(), 0); }
+std::uint32_t fleet_hash(std::string_view fleet) {
+    return XXH32(fleet.data(), fleet.size(), 0);
+}
 }  // namespace
 
 std::string_view to_string(Drop drop) {
     constexpr std::array<std::string_view, drop_kinds> names = {
-        "none", "cut short", "not ours", "other version", "other fleet", "unknown rank", "from elsewhere"};
+        "none",        "cut short",    "not ours",      "other version",
+        "other fleet", "unknown rank", "from elsewhere"};
     return names[static_cast<std::size_t>(drop)];
 }
 
@@ -48,7 +52,8 @@
     if (d.size() < magic.size() || !d.starts_with(magic)) return drop(Drop::not_ours);
     if (d.size() < magic.size() + 1) return drop(Drop::cut_short);
     if (get(d, 4, 1) != envelope_version) return drop(Drop::other_version);
-    if (d.size() < envelope_size || d.size() - envelope_size != get(d, 12, 2)) return drop(Drop::cut_short);
+    if (d.size() < envelope_size || d.size() - envelope_size != get(d, 12, 2))
+        return drop(Drop::cut_short);
     if (get(d, 8, 4) != fleet_hash(fleet)) return drop(Drop::other_fleet);
     const int rank = static_cast<int>(get(d, 6, 2));
     if (rank >= instances) return drop(Drop::unknown_rank);
@@ -85,7 +90,8 @@
     }
 };
 
-Peers::Peers(event::Loop& loop, const config::Config& config, std::function<void(int, std::string)> arrived)
+Peers::Peers(event::Loop& loop, const config::Config& config,
+             std::function<void(int, std::string)> arrived)
     : config_(config), arrived_(std::move(arrived)), rank_(config.peers().rank()) {
     addresses_.resize(static_cast<std::size_t>(config.peers().peer_size()));
     for (const auto& peer : config.peers().peer())
@@ -108,7 +114,8 @@
 }
 void Peers::send_to(int rank, std::string_view datagram) {
     const Address& to = *addresses_[static_cast<std::size_t>(rank)];
-    const ssize_t n = ::sendto(fd_.get(), datagram.data(), datagram.size(), MSG_NOSIGNAL, to.get(), to.size);
+    const ssize_t n =
+        ::sendto(fd_.get(), datagram.data(), datagram.size(), MSG_NOSIGNAL, to.get(), to.size);
     ++(n < 0 ? stats_.lost : stats_.sent);
 }
 
@@ -124,7 +131,8 @@
         const std::size_t got = std::min(static_cast<std::size_t>(n), sizeof buffer);
         Opened opened = open({buffer, got}, config_.fleet(), static_cast<int>(addresses_.size()));
         if (opened.drop == Drop::none &&
-            (opened.rank == rank_ || !addresses_[static_cast<std::size_t>(opened.rank)]->same(from)))
+            (opened.rank == rank_ ||
+             !addresses_[static_cast<std::size_t>(opened.rank)]->same(from)))
             opened.drop = Drop::elsewhere;
         if (opened.drop != Drop::none) {
             ++stats_.dropped[static_cast<std::size_t>(opened.drop)];
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -1,5 +1,5 @@
-// Messages between instances as UDP datagrams. The bytes are the module's; the envelope is written and judged
-// here, without I/O, and the socket beside it.
+// Messages between instances as UDP datagrams. The bytes are the module's; the envelope is written
+// and judged here, without I/O, and the socket beside it.
 #pragma once
 
 #include <functional>
@@ -14,12 +14,20 @@
 
 namespace silverreach::peers {
 
-// Envelope: "SRCH", version, 0, rank (2 bytes), hash of the fleet's name (4), length of what follows (2);
-// numbers are big-endian.
+// Envelope: "SRCH", version, 0, rank (2 bytes), hash of the fleet's name (4), length of what
+// follows (2); numbers are big-endian.
 inline constexpr std::uint8_t envelope_version = 1;
 inline constexpr std::size_t envelope_size = 14, most_payload = 512;
 
-enum class Drop { none, cut_short, not_ours, other_version, other_fleet, unknown_rank, elsewhere };
+enum class Drop {
+    none,
+    cut_short,
+    not_ours,
+    other_version,
+    other_fleet,
+    unknown_rank,
+    elsewhere
+};
 inline constexpr std::size_t drop_kinds = 7;
 std::string_view to_string(Drop drop);
 
@@ -34,10 +42,12 @@
 class Peers {
   public:
     // Throws std::runtime_error where the socket cannot be had.
-    Peers(event::Loop& loop, const config::Config& config, std::function<void(int, std::string)> arrived);
+    Peers(event::Loop& loop, const config::Config& config,
+          std::function<void(int, std::string)> arrived);
     ~Peers();
-    void send(int rank,
-              std::string_view payload);  // below 0: every peer; what does not fit the socket is lost
+    void send(
+        int rank,
+        std::string_view payload);  // below 0: every peer; what does not fit the socket is lost
 
     struct Stats {
         std::uint64_t sent = 0, received = 0, lost = 0;
--- a/src/peers/plain.cpp
+++ b/src/peers/plain.cpp
@@ -28,15 +28,18 @@
 };
 
 PlainPeers::PlainPeers(event::Loop& loop, const config::Endpoint& listen,
-                       const std::vector<config::Endpoint>& peers, const std::optional<config::Endpoint>& all,
-                       int rank, std::function<void(int, std::string)> arrived)
+                       const std::vector<config::Endpoint>& peers,
+                       const std::optional<config::Endpoint>& all, int rank,
+                       std::function<void(int, std::string)> arrived)
     : arrived_(std::move(arrived)), rank_(rank) {
-    for (const config::Endpoint& peer : peers) addresses_.emplace_back(peer);
+    for (const config::Endpoint& peer : peers)
+        addresses_.emplace_back(peer);
     if (all) all_.emplace_back(*all);
     const Address own(listen);
     fd_ = event::Fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!fd_ || ::bind(fd_.get(), own.get(), sizeof own.four) != 0)
-        throw event::SystemRefused("peers: no socket at " + listen.text() + ": " + std::strerror(errno));
+        throw event::SystemRefused("peers: no socket at " + listen.text() + ": " +
+                                   std::strerror(errno));
     io_ = std::make_unique<event::Io>(loop, fd_.get(), [this](int) { receive(); });
     io_->want(event::readable);
 }
@@ -46,7 +49,8 @@
     if (payload.size() > most_bytes) return void(++stats_.lost);
     if (rank < 0 && !all_.empty()) return send_to(all_.front(), payload);
     for (int i = 0; i < static_cast<int>(addresses_.size()); ++i)
-        if (i != rank_ && (rank < 0 || rank == i)) send_to(addresses_[static_cast<std::size_t>(i)], payload);
+        if (i != rank_ && (rank < 0 || rank == i))
+            send_to(addresses_[static_cast<std::size_t>(i)], payload);
 }
 void PlainPeers::send_to(const Address& to, std::string_view payload) {
     const ssize_t n =
@@ -59,8 +63,8 @@
     for (int i = 0; i < receives_a_turn; ++i) {
         sockaddr_in from{};
         socklen_t size = sizeof from;
-        const ssize_t n =
-            ::recvfrom(fd_.get(), buffer, sizeof buffer, 0, reinterpret_cast<sockaddr*>(&from), &size);
+        const ssize_t n = ::recvfrom(fd_.get(), buffer, sizeof buffer, 0,
+                                     reinterpret_cast<sockaddr*>(&from), &size);
         if (n < 0 && errno == ECONNREFUSED) continue;  // an earlier datagram found nobody
         if (n < 0) return;
         int rank = 0;
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -47,7 +47,8 @@
     NodeConfig c;
     const auto text = [&](const char* name, std::string_view key) -> std::optional<std::string> {
         if (const char* value = variable(name); value && *value) return value;
-        if (const auto e = json::optional_key(root, key)) return std::string(json::as_text(*e, key));
+        if (const auto e = json::optional_key(root, key))
+            return std::string(json::as_text(*e, key));
         return std::nullopt;
     };
     c.name = text("NODE_NAME", "name").value_or("node");
@@ -55,9 +56,12 @@
     if (!listen) fail("listen", "an IP address and port, here or in NODE_LISTEN");
     c.listen = endpoint(*listen, "listen");
     // The file comes first here: a new one names another address, and the variable stays as it was.
-    if (const auto e = endpoint_at(root, "discovery")) c.discovery = *e;
-    else if (const auto d = text("NODE_DISCOVERY", "discovery")) c.discovery = endpoint(*d, "NODE_DISCOVERY");
-    else fail("discovery", "an IP address and port, here or in NODE_DISCOVERY");
+    if (const auto e = endpoint_at(root, "discovery"))
+        c.discovery = *e;
+    else if (const auto d = text("NODE_DISCOVERY", "discovery"))
+        c.discovery = endpoint(*d, "NODE_DISCOVERY");
+    else
+        fail("discovery", "an IP address and port, here or in NODE_DISCOVERY");
     if (const auto e = json::optional_key(root, "seed")) c.seed = seed_of(*e);
     if (const auto e = json::optional_key(root, "limits"))
         read_limits(json::as_object(*e, "limits"), c.limits);
@@ -68,8 +72,8 @@
             c.peers.push_back(endpoint(json::as_text(peer, "peers[]"), "peers[]"));
     const json::object settings = json::as_object(json::required(root, "settings"), "settings");
     c.settings = json::read_settings(settings);
-    check(c.settings);
-    if (!c.peers.empty() && c.peers.size() != static_cast<std::size_t>(c.settings.instances))
+    validate(c.settings);
+    if (!c.peers.empty() && c.peers.size() != static_cast<std::size_t>(c.settings.instance_count))
         fail("peers", "one address for each instance of the settings");
     const json::object limits = json::as_object(json::required(settings, "ceilings"), "ceilings");
     json::read(limits, "connectTimeoutUs", c.connect_timeout);
@@ -88,10 +92,12 @@
 bool is_object(std::string_view text) {
     simdjson::dom::parser parser;
     json::element root;
-    return parser.parse(text.data(), text.size()).get(root) == simdjson::SUCCESS && root.is_object();
+    return parser.parse(text.data(), text.size()).get(root) == simdjson::SUCCESS &&
+           root.is_object();
 }
 
-NodeConfig read_config(std::string_view text, const std::function<const char*(const char*)>& variable) {
+NodeConfig read_config(std::string_view text,
+                       const std::function<const char*(const char*)>& variable) {
     simdjson::dom::parser parser;
     json::element root;
     if (parser.parse(text.data(), text.size()).get(root) != simdjson::SUCCESS)
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -1,5 +1,5 @@
-// What the platform tells one gateway: the JSON that NODE_CONFIG names, with the NODE_* variables above it.
-// No I/O, no decision.
+// What the platform tells one gateway: the JSON that NODE_CONFIG names, with the NODE_* variables
+// above it. No I/O, no decision.
 #pragma once
 
 #include <functional>
@@ -32,9 +32,10 @@
     double most_units = 1;                              // that one request counts
 };
 
-// Throws std::invalid_argument with one plain line that names the variable or the key. `variable` gives an
-// environment variable or nothing. An unknown key is passed over.
-NodeConfig read_config(std::string_view json, const std::function<const char*(const char*)>& variable);
+// Throws std::invalid_argument with one plain line that names the variable or the key. `variable`
+// gives an environment variable or nothing. An unknown key is passed over.
+NodeConfig read_config(std::string_view json,
+                       const std::function<const char*(const char*)>& variable);
 
 // Whether the text is one whole JSON object.
 bool is_object(std::string_view json);
--- a/src/platform/object_reader.cpp
+++ b/src/platform/object_reader.cpp
@@ -17,7 +17,8 @@
         const char c = bytes[at++];
         if (in_text_) {
             // A text never holds a line's end: the object was torn and another line has begun.
-            if (static_cast<unsigned char>(c) < ' ') return why_ = "a text that does not end", Got::broken;
+            if (static_cast<unsigned char>(c) < ' ')
+                return why_ = "a text that does not end", Got::broken;
             in_text_ = escaped_ || c != '"';
             escaped_ = !escaped_ && c == '\\';
         } else if (c == '"') {
@@ -34,6 +35,8 @@
     return whole ? Got::whole : Got::more;
 }
 
-std::string ObjectReader::take() { return std::exchange(object_, {}); }
+std::string ObjectReader::take() {
+    return std::exchange(object_, {});
+}
 
 }  // namespace silverreach::platform
--- a/src/platform/object_reader.h
+++ b/src/platform/object_reader.h
@@ -1,5 +1,5 @@
-// Cuts a stream of JSON objects into objects: one ends where its braces close, whatever lines and pieces it
-// came in. No I/O.
+// Cuts a stream of JSON objects into objects: one ends where its braces close, whatever lines and
+// pieces it came in. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,11 @@
 
 class ObjectReader {
   public:
-    enum class Got { more, whole, broken };
+    enum class Got {
+        more,
+        whole,
+        broken
+    };
     explicit ObjectReader(std::size_t most = 1024 * 1024) : most_(most) {}
     // Takes bytes off the front of `bytes` until an object is whole, or all are taken.
     Got look(std::string_view& bytes);
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -34,30 +34,35 @@
 }
 bool plain(std::string_view text, std::size_t most) {
     return !text.empty() && text.size() <= most &&
-           std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f && c != ','; });
+           std::all_of(text.begin(), text.end(),
+                       [](char c) { return c > ' ' && c < 0x7f && c != ','; });
 }
 }  // namespace
 
 std::string OutCommand::with(Micros wait) const {
     // Rounded down, so that no host works past the time; never nothing.
-    const auto ms = std::max<std::int64_t>(1, std::chrono::floor<std::chrono::milliseconds>(wait).count());
+    const auto ms =
+        std::max<std::int64_t>(1, std::chrono::floor<std::chrono::milliseconds>(wait).count());
     std::string out = head;
     resp::append_bulk(out, before + std::to_string(ms) + after);
     return out += tail;
 }
 
 Judge::Judge(const NodeConfig& config)
-    : instances_(config.settings.instances), most_units_(std::max(1.0, config.most_units)) {
+    : instances_(config.settings.instance_count), most_units_(std::max(1.0, config.most_units)) {
     const Settings& s = config.settings;
     for (std::size_t i = 0; i < s.classes.size(); ++i) {
         const RequestClass& c = s.classes[i];
-        classes_[c.name] = {static_cast<int>(i), c.effect == Effect::safe, c.effect == Effect::keyed,
-                            c.deadline};
+        classes_[c.name] = {static_cast<int>(i), c.idempotency == Idempotency::idempotent,
+                            c.idempotency == Idempotency::idempotency_key, c.deadline};
     }
-    for (std::size_t i = 0; i < s.plans.size(); ++i) plans_[s.plans[i].name] = static_cast<int>(i);
+    for (std::size_t i = 0; i < s.plans.size(); ++i)
+        plans_[s.plans[i].name] = static_cast<int>(i);
 }
 
-bool Judge::is_request(std::string_view command) { return command == query || command == submit; }
+bool Judge::is_request(std::string_view command) {
+    return command == query || command == submit;
+}
 
 Request Judge::judge(const std::vector<std::string_view>& words) const {
     Request r;
@@ -65,7 +70,8 @@
     const bool asks = words.front() == query;
     if (words.size() != (asks ? 4 : 5)) return no("wrong number of arguments");
     const auto customer = hex(words[1]);
-    if (!customer || *customer >= customers) return no("customer: expected 16 hex digits below 2^33");
+    if (!customer || *customer >= customers)
+        return no("customer: expected 16 hex digits below 2^33");
     const auto id = hex(words[2]);
     if (!id) return no("id: expected 16 hex digits");
     r.id = *id;
@@ -100,7 +106,8 @@
             plan = found->second;
         } else if (name == "d") {
             wait = number<std::int64_t>(value);
-            if (!wait || *wait < 1 || *wait > most_wait_ms) return no("d: expected milliseconds above 0");
+            if (!wait || *wait < 1 || *wait > most_wait_ms)
+                return no("d: expected milliseconds above 0");
             r.out.before = list.substr(0, at + is + 1);
             r.out.after = list.substr(end);
         } else if (name == "units") {
@@ -128,11 +135,13 @@
     r.attempt.plan = plan.value_or(-1);
     r.attempt.units = units.value_or(1);
     // A class's deadline is the whole patience of its clients; a longer one only holds state here.
-    r.attempt.time_left = std::min<Micros>(std::chrono::milliseconds(*wait), cls->most);
+    r.attempt.time_remaining = std::min<Micros>(std::chrono::milliseconds(*wait), cls->most);
     if (spread.has_value() != first.has_value()) return no("spread and first: only together");
-    if (spread) r.attempt.set = core::AccountSet{static_cast<int>(*spread), static_cast<int>(*first)};
+    if (spread)
+        r.attempt.subset = core::AccountSubset{static_cast<int>(*spread), static_cast<int>(*first)};
     resp::append_array(r.out.head, words.size());
-    for (std::size_t i = 0; i < 3; ++i) resp::append_bulk(r.out.head, words[i]);
+    for (std::size_t i = 0; i < 3; ++i)
+        resp::append_bulk(r.out.head, words[i]);
     if (!asks) resp::append_bulk(r.out.tail, words[4]);
     return r;
 }
--- a/src/platform/request.h
+++ b/src/platform/request.h
@@ -1,5 +1,5 @@
-// A client's command as the platform words it, judged as a whole: either a request for the core and the
-// command for hosts, or one plain error and nothing of it goes any further. No I/O.
+// A client's command as the platform words it, judged as a whole: either a request for the core and
+// the command for hosts, or one plain error and nothing of it goes any further. No I/O.
 #pragma once
 
 #include <string>
@@ -25,7 +25,7 @@
 struct Request {
     std::string error;  // why it is refused as nonsense; empty: it is good
     std::uint64_t id = 0;
-    core::Try attempt;  // time_left as the client told it
+    core::ClientRequest attempt;  // time_left as the client told it
     OutCommand out;
 };
 
--- a/src/platform/targets.cpp
+++ b/src/platform/targets.cpp
@@ -6,27 +6,29 @@
 namespace {
 namespace json = silverreach::settings_json;
 
-HostState state_of(std::string_view text) {
-    if (text == "ready") return HostState::up;
-    if (text == "draining") return HostState::draining;
-    if (text == "gone") return HostState::gone;
+EndpointStatus state_of(std::string_view text) {
+    if (text == "ready") return EndpointStatus::available;
+    if (text == "draining") return EndpointStatus::draining;
+    if (text == "gone") return EndpointStatus::removed;
     json::bad("state", "ready, draining or gone");
 }
 
 Target read_target(json::object o) {
     Target t;
-    t.entry.host = json::as_text(json::required(o, "uid"), "uid");
-    if (t.entry.host.empty()) json::bad("uid", "a name");
-    t.entry.state = state_of(json::as_text(json::required(o, "state"), "state"));
+    t.entry.id = json::as_text(json::required(o, "uid"), "uid");
+    if (t.entry.id.empty()) json::bad("uid", "a name");
+    t.entry.status = state_of(json::as_text(json::required(o, "state"), "state"));
     if (const auto e = json::optional_key(o, "az")) t.entry.zone = json::as_text(*e, "az");
     if (const auto e = json::optional_key(o, "model")) t.entry.kind = json::as_text(*e, "model");
-    if (const auto e = json::optional_key(o, "pod_group")) t.entry.cell = json::as_integer(*e, "pod_group");
+    if (const auto e = json::optional_key(o, "pod_group"))
+        t.entry.cell = json::as_integer(*e, "pod_group");
     json::read(o, "capacity_hint", t.entry.weight);
     if (const auto e = json::optional_key(o, "boot_ms"))
-        t.entry.started = std::chrono::milliseconds(json::as_integer(*e, "boot_ms"));
+        t.entry.started_at = std::chrono::milliseconds(json::as_integer(*e, "boot_ms"));
     if (const auto e = json::optional_key(o, "endpoint"))
         t.endpoint = config::parse_endpoint(json::as_text(*e, "endpoint"));
-    if (!t.endpoint && t.entry.state != HostState::gone) json::bad("endpoint", "an IP address and port");
+    if (!t.endpoint && t.entry.status != EndpointStatus::removed)
+        json::bad("endpoint", "an IP address and port");
     return t;
 }
 }  // namespace
--- a/src/platform/targets.h
+++ b/src/platform/targets.h
@@ -13,7 +13,7 @@
 namespace silverreach::platform {
 
 struct Target {
-    HostEntry entry;  // its host is the uid; started in Unix microseconds, 0 for long ago
+    EndpointEntry entry;  // its host is the uid; started in Unix microseconds, 0 for long ago
     std::optional<config::Endpoint> endpoint;  // none where the host is gone
 };
 struct TargetList {
@@ -22,7 +22,8 @@
     std::vector<Target> targets;
 };
 
-// Nothing where any part of the text is not as the form has it: half a list is worse than an old one.
+// Nothing where any part of the text is not as the form has it: half a list is worse than an old
+// one.
 std::optional<TargetList> read_targets(simdjson::dom::object o);
 std::optional<TargetList> read_targets(std::string_view json);
 
--- a/src/registry/book.cpp
+++ b/src/registry/book.cpp
@@ -58,13 +58,13 @@
                     });
 }
 
-// An older registry than the one in memory is not taken: it may not know of a revocation that was served
-// already.
+// An older registry than the one in memory is not taken: it may not know of a revocation that was
+// served already.
 void Book::take(Read& read) {
     if (!read.registry) return hooks_.kept(read.why);
     if (registry_ && read.registry->version() < registry_->version())
-        return hooks_.kept("version " + std::to_string(read.registry->version()) + " is older than " +
-                           std::to_string(registry_->version()));
+        return hooks_.kept("version " + std::to_string(read.registry->version()) +
+                           " is older than " + std::to_string(registry_->version()));
     if (registry_ && read.registry->version() == registry_->version()) return;
     if (registry_) read.registry->not_before(registry_->latest());
     registry_ = std::move(read.registry);
--- a/src/registry/store.cpp
+++ b/src/registry/store.cpp
@@ -46,8 +46,12 @@
     }
     return true;
 }
-bool Disk::sync(int fd) { return ::fsync(fd) == 0; }
-bool Disk::truncate(int fd, std::uint64_t size) { return ::ftruncate(fd, static_cast<off_t>(size)) == 0; }
+bool Disk::sync(int fd) {
+    return ::fsync(fd) == 0;
+}
+bool Disk::truncate(int fd, std::uint64_t size) {
+    return ::ftruncate(fd, static_cast<off_t>(size)) == 0;
+}
 
 accounts::Bytes32 random_bytes() {
     if (sodium_init() < 0) throw std::runtime_error("no source of random numbers");
@@ -56,7 +60,8 @@
     return bytes;
 }
 
-Store::Store(const std::string& folder, Mode mode, bool make, Disk& disk) : folder_(folder), disk_(disk) {
+Store::Store(const std::string& folder, Mode mode, bool make, Disk& disk)
+    : folder_(folder), disk_(disk) {
     if (sodium_init() < 0) throw std::runtime_error("no source of random numbers");
     const bool writes = mode == Mode::write;
     if (make && ::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) fail(folder);
@@ -64,11 +69,12 @@
     if (writes) {
         lock_ = event::Fd(::open((folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
         if (!lock_ && errno == ENOENT)
-            throw std::runtime_error(folder +
-                                     ": no registry here; 'silverreach keys plan NAME --make' makes one");
+            throw std::runtime_error(
+                folder + ": no registry here; 'silverreach keys plan NAME --make' makes one");
         if (!lock_) fail(folder + "/lock");
         if (::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0)
-            throw std::runtime_error(folder + ": another writer has the registry; nothing was changed");
+            throw std::runtime_error(folder +
+                                     ": another writer has the registry; nothing was changed");
     }
     log_ = event::Fd(::open((folder + "/log").c_str(), flags, 0600));
     mark_ = event::Fd(::open((folder + "/mark").c_str(), flags, 0600));
@@ -80,13 +86,15 @@
     // The mark first: a writer beside a reader makes the log longer before it moves the mark.
     std::string mark = read_all(mark_.get(), folder + "/mark");
     std::string log = read_all(log_.get(), folder + "/log");
-    // The log's first bytes are the last step of making a registry; until they are whole nothing was
-    // acknowledged, and the making is begun anew.
+    // The log's first bytes are the last step of making a registry; until they are whole nothing
+    // was acknowledged, and the making is begun anew.
     const auto marked = accounts::read_mark(mark);
-    if (writes && log.size() < accounts::log_magic.size() && (!marked || marked->acknowledged == 0)) {
+    if (writes && log.size() < accounts::log_magic.size() &&
+        (!marked || marked->acknowledged == 0)) {
         const auto fresh = random_bytes();
         pepper.assign(reinterpret_cast<const char*>(fresh.data()), fresh.size());
-        if (!disk_.write(secret.get(), 0, pepper) || !disk_.sync(secret.get())) fail(folder + "/secret");
+        if (!disk_.write(secret.get(), 0, pepper) || !disk_.sync(secret.get()))
+            fail(folder + "/secret");
         if (!disk_.write(mark_.get(), 0, accounts::slot_of({})) || !disk_.sync(mark_.get()))
             fail(folder + "/mark");
         if (!disk_.write(log_.get(), 0, accounts::log_magic) || !disk_.sync(log_.get()))
@@ -96,8 +104,8 @@
     }
     accounts::Pepper key{};
     if (pepper.size() != key.size())
-        throw std::runtime_error(folder +
-                                 "/secret: expected 32 bytes; the log's keys are of no use without it");
+        throw std::runtime_error(
+            folder + "/secret: expected 32 bytes; the log's keys are of no use without it");
     std::memcpy(key.data(), pepper.data(), key.size());
     registry_ = std::make_unique<accounts::Registry>(key);
 
@@ -121,8 +129,8 @@
     const accounts::Mark mark{last_.sequence + 1, size_ + record.size()};
     const auto refuse = [&](const char* what) {
         const std::string why = std::strerror(errno);
-        // What is beyond the mark was not acknowledged. Where it cannot be taken back, a record that is whole
-        // stands at the next opening.
+        // What is beyond the mark was not acknowledged. Where it cannot be taken back, a record
+        // that is whole stands at the next opening.
         broken_ = !disk_.truncate(log_.get(), size_) || !disk_.sync(log_.get());
         return folder_ + what + why + (broken_ ? unsure : "; the change was not made");
     };
--- a/src/resp/command.cpp
+++ b/src/resp/command.cpp
@@ -15,7 +15,8 @@
     const std::string_view digits = rest.substr(0, end);
     if (digits.size() > most_digits + 1) return Got::broken;
     for (std::size_t i = 0; i < digits.size(); ++i)
-        if ((digits[i] < '0' || digits[i] > '9') && !(i == 0 && digits[i] == '-')) return Got::broken;
+        if ((digits[i] < '0' || digits[i] > '9') && !(i == 0 && digits[i] == '-'))
+            return Got::broken;
     if (end == std::string_view::npos || end + 1 >= rest.size()) return Got::more;
     if (rest[end + 1] != '\n') return Got::broken;
     const auto read = std::from_chars(digits.data(), digits.data() + digits.size(), value);
@@ -67,7 +68,11 @@
     out.append("*").append(std::to_string(items)).append("\r\n");
 }
 void append_bulk(std::string& out, std::string_view value) {
-    out.append("$").append(std::to_string(value.size())).append("\r\n").append(value).append("\r\n");
+    out.append("$")
+        .append(std::to_string(value.size()))
+        .append("\r\n")
+        .append(value)
+        .append("\r\n");
 }
 
 }  // namespace silverreach::resp
--- a/src/resp/command.h
+++ b/src/resp/command.h
@@ -1,7 +1,8 @@
 // RESP2 commands as a server reads them: arrays of bulk strings, each as words. No I/O.
 //
-// Every length is judged at its own line, before a byte of what it announces is waited for, so what a client
-// claims costs no memory. Source: the published description of the Redis serialization protocol, version 2.
+// Every length is judged at its own line, before a byte of what it announces is waited for, so what
+// a client claims costs no memory. Source: the published description of the Redis serialization
+// protocol, version 2.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +20,11 @@
     std::size_t line = 256;         // of a status or error line
 };
 
-enum class Got { more, whole, broken };
+enum class Got {
+    more,
+    whole,
+    broken
+};
 
 class CommandReader {
   public:
@@ -45,7 +50,8 @@
 
 // A length line at `at`: `mark`, digits or -1, CRLF. Moves `at` behind it.
 Got read_length(std::string_view bytes, std::size_t& at, char mark, std::int64_t& value);
-// The CRLF behind a value that ends at `at`: whether it is there, may still come, or is something else.
+// The CRLF behind a value that ends at `at`: whether it is there, may still come, or is something
+// else.
 Got read_value_end(std::string_view bytes, std::size_t at);
 
 void append_bulk(std::string& out, std::string_view value);
