--- a/tests/openapi/openapi_test.cpp
+++ b/tests/openapi/openapi_test.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 const std::string head =
-    "openapi: 3.1.0\ninfo: {title: t, version: '1'}\nx-silverreach-class: read\nx-silverreach-units: 1\n";
+    "openapi: 3.1.0\ninfo: {title: t, version: '1'}\nx-silverreach-class: "
+    "read\nx-silverreach-units: 1\n";
 
 struct Loaded {
     std::shared_ptr<const Description> description;
@@ -25,7 +26,8 @@
 Loaded read(const std::string& text, Policy policy = {}) {
     Loaded l;
     l.description = load(text, "api.yaml", policy, l.problems);
-    for (const Problem& p : l.problems) l.description ? void() : void(std::cout << to_string(p) << "\n");
+    for (const Problem& p : l.problems)
+        l.description ? void() : void(std::cout << to_string(p) << "\n");
     return l;
 }
 }  // namespace
@@ -44,7 +46,8 @@
     EXPECT_EQ(l.find(Method::get, "/pets/7")->operation, "one");
     EXPECT_EQ(l.find(Method::get, "/pets/mine/owner")->operation, "owner")
         << "the literal leads nowhere here";
-    EXPECT_EQ(l.find(Method::get, "/pets/7.json")->operation, "json") << "more literal text goes first";
+    EXPECT_EQ(l.find(Method::get, "/pets/7.json")->operation, "json")
+        << "more literal text goes first";
     const auto range = l.description->table.find(Method::get, "/r/1-2-3");
     ASSERT_TRUE(range.route);
     EXPECT_EQ(range.parameters[0].second + "," + range.parameters[1].second, "1,2-3");
@@ -105,16 +108,16 @@
     put: {x-silverreach-effect: unsafe}
 )");
     ASSERT_TRUE(l.description);
-    EXPECT_EQ(l.find(Method::get, "/a")->effect, Effect::safe);
-    EXPECT_EQ(l.find(Method::put, "/a")->effect, Effect::safe);
-    EXPECT_EQ(l.find(Method::del, "/a")->effect, Effect::safe);
-    EXPECT_EQ(l.find(Method::post, "/a")->effect, Effect::unsafe);
-    EXPECT_EQ(l.find(Method::patch, "/a")->effect, Effect::safe);
-    EXPECT_EQ(l.find(Method::post, "/k")->effect, Effect::keyed);
+    EXPECT_EQ(l.find(Method::get, "/a")->effect, Idempotency::idempotent);
+    EXPECT_EQ(l.find(Method::put, "/a")->effect, Idempotency::idempotent);
+    EXPECT_EQ(l.find(Method::del, "/a")->effect, Idempotency::idempotent);
+    EXPECT_EQ(l.find(Method::post, "/a")->effect, Idempotency::non_idempotent);
+    EXPECT_EQ(l.find(Method::patch, "/a")->effect, Idempotency::idempotent);
+    EXPECT_EQ(l.find(Method::post, "/k")->effect, Idempotency::idempotency_key);
     EXPECT_TRUE(l.find(Method::post, "/k")->key_required);
-    EXPECT_EQ(l.find(Method::put, "/k")->effect, Effect::unsafe);
-    EXPECT_TRUE(
-        read(head + "paths: {/a: {post: {x-silverreach-effect: keyed}}}\n").has(5, "Idempotency-Key"));
+    EXPECT_EQ(l.find(Method::put, "/k")->effect, Idempotency::non_idempotent);
+    EXPECT_TRUE(read(head + "paths: {/a: {post: {x-silverreach-effect: keyed}}}\n")
+                    .has(5, "Idempotency-Key"));
 }
 
 TEST(Description, ServersVariablesAndOverridesGiveBasePaths) {
@@ -174,18 +177,21 @@
 )");
     ASSERT_TRUE(l.description);
     EXPECT_EQ(l.find(Method::get, "/a")->keys,
-              (std::vector<Carrier>{{Place::query, "key", false}, {Place::header, "Authorization", true}}));
+              (std::vector<Carrier>{{Place::query, "key", false},
+                                    {Place::header, "Authorization", true}}));
     EXPECT_FALSE(l.find(Method::get, "/a")->anonymous);
     EXPECT_TRUE(l.find(Method::get, "/b")->anonymous);
     EXPECT_TRUE(l.find(Method::get, "/c")->anonymous);
     EXPECT_FALSE(read(head + "components: {securitySchemes: {o: {type: oauth2}}}\nsecurity: [{o: "
                              "[]}]\npaths: {/a: {get: {}}}\n")
                      .description);
-    EXPECT_TRUE(read(head + "security: [{nobody: []}]\npaths: {/a: {get: {}}}\n").has(5, "securitySchemes"));
+    EXPECT_TRUE(read(head + "security: [{nobody: []}]\npaths: {/a: {get: {}}}\n")
+                    .has(5, "securitySchemes"));
 }
 
 TEST(Description, MissingCostFollowsThePolicy) {
-    const std::string bare = "openapi: 3.0.3\npaths: {/a: {get: {}, post: {x-silverreach-units: 4}}}\n";
+    const std::string bare =
+        "openapi: 3.0.3\npaths: {/a: {get: {}, post: {x-silverreach-units: 4}}}\n";
     Policy strict;
     EXPECT_EQ(read(bare, strict).problems.size(), 3u) << "class twice, cost once";
     Policy lax;
@@ -202,10 +208,12 @@
     known.classes = {"read"};
     EXPECT_TRUE(read(head + "paths: {/a: {get: {x-silverreach-class: nope}}}\n", known)
                     .has(5, "one of read, not 'nope'"));
-    EXPECT_TRUE(read(head + "paths: {/a: {get: {x-silverreach-units: -1}}}\n").has(5, "a number from 0"));
-    EXPECT_TRUE(read(head + "paths: {/a: {get: {x-silverreach-units: '1'}}}\n").has(5, "a number from 0"));
     EXPECT_TRUE(
-        read(head + "paths: {/a: {get: {x-silverreach-unit: 1}}}\n").has(5, "-units-from or -effect"));
+        read(head + "paths: {/a: {get: {x-silverreach-units: -1}}}\n").has(5, "a number from 0"));
+    EXPECT_TRUE(
+        read(head + "paths: {/a: {get: {x-silverreach-units: '1'}}}\n").has(5, "a number from 0"));
+    EXPECT_TRUE(read(head + "paths: {/a: {get: {x-silverreach-unit: 1}}}\n")
+                    .has(5, "-units-from or -effect"));
     EXPECT_TRUE(read(head + "paths: {a: {get: {}}}\n").has(5, "starts with '/'"));
     EXPECT_TRUE(read(head + "paths: {'/{a}{b}': {get: {}}}\n").has(5, "text between"));
     EXPECT_TRUE(read(head + "paths: {'/{a': {get: {}}}\n").has(5, "'}'"));
@@ -218,11 +226,14 @@
     EXPECT_TRUE(read("{\"openapi\": \"3.0.0\",\n\"paths\": {]}").has(2, "valid JSON"));
     EXPECT_TRUE(read("a: [").problems[0].expected.find("valid YAML") == 0);
     EXPECT_FALSE(read("").description);
-    EXPECT_TRUE(read(head + "paths: {/a: {get: {x-silverreach-units-from: {in: header, name: X-U}}}}\n")
-                    .has(5, "the operation declares"));
+    EXPECT_TRUE(
+        read(head + "paths: {/a: {get: {x-silverreach-units-from: {in: header, name: X-U}}}}\n")
+            .has(5, "the operation declares"));
     std::string deep = "x: ";
-    for (int i = 0; i < 100; ++i) deep += "[";
-    for (int i = 0; i < 100; ++i) deep += "]";
+    for (int i = 0; i < 100; ++i)
+        deep += "[";
+    for (int i = 0; i < 100; ++i)
+        deep += "]";
     EXPECT_NE(read(deep + "\n").problems.at(0).expected.find("64"), std::string::npos);
     std::string bomb = "a: &a [x,x,x,x,x,x,x,x,x,x]\n";
     for (char c = 'b'; c < 'j'; ++c)
@@ -232,7 +243,8 @@
 }
 
 TEST(Description, JsonIsReadAsYamlIs) {
-    const auto l = read(R"({"openapi": "3.0.1", "x-silverreach-class": "read", "x-silverreach-units": 1,
+    const auto l =
+        read(R"({"openapi": "3.0.1", "x-silverreach-class": "read", "x-silverreach-units": 1,
  "paths": {"\/a\u002fb": {"get": {"operationId": "x\u00e9"}}}})");
     ASSERT_TRUE(l.description);
     ASSERT_TRUE(l.find(Method::get, "/a/b"));
--- a/tests/package/main.cpp
+++ b/tests/package/main.cpp
@@ -1,6 +1,7 @@
-#include <cstdio>
 #include <silverreach/interface.h>
 
+#include <cstdio>
+
 int main() {
     using namespace silverreach;
     using namespace std::chrono_literals;
@@ -14,5 +15,6 @@
     request.id = 7, request.customer = "c1", request.time_left = 2s;
     gateway.handle(1s, request, actions);
     for (const Action& action : actions)
-        if (const auto* send = std::get_if<SendAttempt>(&action)) std::printf("send to %s\n", send->host.c_str());
+        if (const auto* send = std::get_if<SendAttempt>(&action))
+            std::printf("send to %s\n", send->host.c_str());
 }
--- a/tests/resp/resp_test.cpp
+++ b/tests/resp/resp_test.cpp
@@ -11,7 +11,8 @@
 std::string command(const std::vector<std::string>& words) {
     std::string out;
     append_array(out, words.size());
-    for (const auto& w : words) append_bulk(out, w);
+    for (const auto& w : words)
+        append_bulk(out, w);
     return out;
 }
 // Feeds byte by byte; how it ended, and after how many bytes.
@@ -22,14 +23,19 @@
             return {got, n};
     return {Got::more, bytes.size()};
 }
-Got at_once(const std::string& bytes) { return CommandReader().look(bytes); }
-Got reply_at_once(const std::string& bytes) { return ReplyReader().look(bytes); }
+Got at_once(const std::string& bytes) {
+    return CommandReader().look(bytes);
+}
+Got reply_at_once(const std::string& bytes) {
+    return ReplyReader().look(bytes);
+}
 }  // namespace
 
 TEST(RespCommand, ComesOutTheSameHoweverItIsCut) {
     EXPECT_TRUE(rc::check([] {
         std::vector<std::string> words(*rc::gen::inRange<std::size_t>(1, 9));
-        for (auto& w : words) w = *rc::gen::arbitrary<std::string>();
+        for (auto& w : words)
+            w = *rc::gen::arbitrary<std::string>();
         const std::string bytes = command(words), all = bytes + "*1\r\n";
         const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size());
         CommandReader reader;
@@ -37,7 +43,8 @@
         RC_ASSERT(reader.look(all) == Got::whole);
         RC_ASSERT(reader.size() == bytes.size());
         RC_ASSERT(reader.words() == words.size());
-        for (std::size_t i = 0; i < words.size(); ++i) RC_ASSERT(reader.word(all, i) == words[i]);
+        for (std::size_t i = 0; i < words.size(); ++i)
+            RC_ASSERT(reader.word(all, i) == words[i]);
         CommandReader slow;
         RC_ASSERT(feed(slow, bytes) == std::make_pair(Got::whole, bytes.size()));
     }));
@@ -59,9 +66,10 @@
 
 TEST(RespCommand, ALengthIsJudgedAtItsLine) {
     for (const char* bad :
-         {"*0\r\n", "*-1\r\n", "*9\r\n", "*9999999999999", "*1x\r\n", "*1\rx", "x", "\n", "PING\r\n",
-          "*1\r\n$-1\r\n", "*1\r\n$65537\r\n", "*1\r\n$60000000\r\n", "*1\r\n$4294967300\r\n",
-          "*1\r\n$99999999999999999999", "*1\r\n+PING\r\n", "*1\r\n$4\r\nPINGx", "*1\r\n$4\r\nPING\rx"})
+         {"*0\r\n", "*-1\r\n", "*9\r\n", "*9999999999999", "*1x\r\n", "*1\rx", "x", "\n",
+          "PING\r\n", "*1\r\n$-1\r\n", "*1\r\n$65537\r\n", "*1\r\n$60000000\r\n",
+          "*1\r\n$4294967300\r\n", "*1\r\n$99999999999999999999", "*1\r\n+PING\r\n",
+          "*1\r\n$4\r\nPINGx", "*1\r\n$4\r\nPING\rx"})
         EXPECT_EQ(at_once(bad), Got::broken) << bad;
     EXPECT_EQ(at_once("*2\r\n$65536\r\n"), Got::more);
     // Two values that are each within their limit are not within that of a command.
@@ -85,8 +93,9 @@
 }
 
 TEST(RespReply, WhatIsSpoiltIsBrokenBeforeItIsWaitedFor) {
-    for (const char* bad : {"!", "$3000000000\r\n", "$-2\r\n", "*3\r\n$3000000000\r\n", "*3\r\n*1\r\n",
-                            "*-1\r\n", "*3\r\n$2\r\nokay\r\n", "+a\nb\r\n", "*70000\r\n"})
+    for (const char* bad :
+         {"!", "$3000000000\r\n", "$-2\r\n", "*3\r\n$3000000000\r\n", "*3\r\n*1\r\n", "*-1\r\n",
+          "*3\r\n$2\r\nokay\r\n", "+a\nb\r\n", "*70000\r\n"})
         EXPECT_EQ(reply_at_once(bad), Got::broken) << bad;
     EXPECT_EQ(reply_at_once("+" + std::string(10000, 'x')), Got::broken) << "a line without end";
     EXPECT_EQ(reply_at_once("+" + std::string(100, 'x')), Got::more);
--- a/tests/drill/fleet_test.cpp
+++ b/tests/scenario_runner/fleet_test.cpp
@@ -1,11 +1,11 @@
 // The judge of fleet days, and the days themselves where they must come out the same each time.
 #include <gtest/gtest.h>
 
-#include "drill/fleet/arrivals.h"
-#include "drill/fleet/virtual_fleet.h"
+#include "scenario_runner/fleet/arrivals.h"
+#include "scenario_runner/fleet/virtual_fleet.h"
 
 using namespace silverreach;
-using namespace silverreach::drill;
+using namespace silverreach::scenario;
 using namespace std::chrono_literals;
 
 namespace {
@@ -48,7 +48,8 @@
     EXPECT_NE(late[0].find("in the worst 5 s"), std::string::npos);
     EXPECT_NE(late[1].find("wait for leave"), std::string::npos);
     EXPECT_NE(late[2].find("refusals"), std::string::npos);
-    EXPECT_FALSE(held_against(day, measure(day, {}, {})).empty());  // a day without tries proves nothing
+    EXPECT_FALSE(
+        held_against(day, measure(day, {}, {})).empty());  // a day without tries proves nothing
 }
 
 TEST(FleetArrivals, FallAsTheShapeSays) {
@@ -56,7 +57,8 @@
     day.instances = 4, day.shape = Shape::halving;
     Arrivals arrivals(day);
     std::vector<int> count(4);
-    for (int i = 0; i < 8000; ++i) ++count[static_cast<std::size_t>(arrivals.next().instance)];
+    for (int i = 0; i < 8000; ++i)
+        ++count[static_cast<std::size_t>(arrivals.next().instance)];
     EXPECT_NEAR(count[0], 4000, 200);
     EXPECT_NEAR(count[1], 2000, 150);
     EXPECT_NEAR(count[3], 1000, 100);
--- a/tests/drill/judge_test.cpp
+++ b/tests/scenario_runner/judge_test.cpp
@@ -1,19 +1,20 @@
 // The judge is shown to fail: each rule is broken once in a record that is good without that.
-#include "drill/judge.h"
+#include "scenario_runner/judge.h"
 
 #include <gtest/gtest.h>
 
-#include "drill/scenario.h"
-#include "standins/tally.h"
+#include "fakes/tally.h"
+#include "scenario_runner/scenario.h"
 
-using namespace silverreach::drill;
+using namespace silverreach::scenario;
 using nlohmann::json;
 
 namespace {
 Terms terms() {
     Terms t;
     t.slack = Micros(10'000), t.drain_grace = Micros(250'000);
-    t.cold = Micros(10'000'000), t.fall_time = Micros(1'000'000), t.start_capacity = 0.2, t.fall_multiple = 2;
+    t.cold = Micros(10'000'000), t.fall_time = Micros(1'000'000), t.start_capacity = 0.2,
+    t.fall_multiple = 2;
     t.ceilings["coast"] = {10, 10};
     return t;
 }
@@ -61,15 +62,16 @@
     all.insert(all.end(), more.begin(), more.end());
     const Verdict v = judge(all, terms());
     EXPECT_TRUE(v.broke(rule)) << to_string(rule);
-    for (const auto& [other, what] : v.broken) EXPECT_EQ(other, rule) << what;
+    for (const auto& [other, what] : v.broken)
+        EXPECT_EQ(other, rule) << what;
 }
 }  // namespace
 
 TEST(Judge, AGoodRecordIsKeptAndWasLookedAt) {
     const Verdict v = judge(good(), terms());
     EXPECT_TRUE(v.kept()) << text_of(v);
-    for (const Rule r : {Rule::one_answer, Rule::no_effect_twice, Rule::drains_kept, Rule::ceilings_kept,
-                         Rule::counted_once})
+    for (const Rule r : {Rule::one_answer, Rule::no_effect_twice, Rule::drains_kept,
+                         Rule::ceilings_kept, Rule::counted_once})
         EXPECT_GT(v.looked_at.at(r), 0u) << to_string(r);
 }
 
@@ -77,9 +79,11 @@
     breaks(Rule::one_answer, {sent(50'000, "b")});
     breaks(Rule::one_answer, {sent(50'000, "b"), answer(1'070'000, "b", "no-time", 504)});
     breaks(Rule::one_answer, {sent(50'000, "b"), answer(60'000, "b"), answer(61'000, "b")});
-    breaks(Rule::one_answer, {sent(50'000, "b"), client(60'000, "broken", "b", {{"head_seen", false}})});
+    breaks(Rule::one_answer,
+           {sent(50'000, "b"), client(60'000, "broken", "b", {{"head_seen", false}})});
     breaks(Rule::one_answer, {sent(50'000, "b"), client(1'300'000, "gave_up", "b")});
-    breaks(Rule::one_answer, {sent(50'000, "b"), answer(60'000, "b"), host(90'000, "received", "b")});
+    breaks(Rule::one_answer,
+           {sent(50'000, "b"), answer(60'000, "b"), host(90'000, "received", "b")});
     breaks(Rule::one_answer, {client(60'000, "extra", "a")});
 }
 
@@ -93,7 +97,8 @@
     EXPECT_FALSE(judge(all, terms()).kept()) << "another one's death excuses nothing";
 }
 
-// Failed once in some twenty bad days: a try that found nobody and the start had the same microsecond.
+// Failed once in some twenty bad days: a try that found nobody and the start had the same
+// microsecond.
 TEST(Judge, ATryAtTheMomentOfAStartMayFindNobodyAndALaterOneMayNot) {
     for (const int after : {0, 1}) {
         std::vector<json> all = good();
@@ -124,7 +129,8 @@
         breaks(Rule::drains_kept,
                {word, sent(400'000, "b"), host(400'100, "received", "b"), answer(410'000, "b")});
         std::vector<json> all = good();
-        for (const json& r : {word, sent(300'000, "b"), host(300'100, "received", "b"), answer(310'000, "b")})
+        for (const json& r :
+             {word, sent(300'000, "b"), host(300'100, "received", "b"), answer(310'000, "b")})
             all.push_back(r);
         EXPECT_TRUE(judge(all, terms()).kept()) << "within the grace";
     }
@@ -159,7 +165,8 @@
     for (json& r : more)
         if (r["what"] == "received") r["attempt"] = 1, r["id"] = "c0";
     more.resize(3);
-    EXPECT_FALSE(judge(more, terms()).broke(Rule::ceilings_kept)) << "further attempts take nothing";
+    EXPECT_FALSE(judge(more, terms()).broke(Rule::ceilings_kept))
+        << "further attempts take nothing";
 }
 
 TEST(Judge, EachTryCountedOnce) {
@@ -181,16 +188,17 @@
         "happenings:\n  - {at: 1, do: kill-gateway, gateway: 5}\n  - {at: 1, do: sing}\n",
         "d.yaml", s, problems));
     std::string all;
-    for (const auto& p : problems) all += to_string(p) + "\n";
+    for (const auto& p : problems)
+        all += to_string(p) + "\n";
     for (const char* words :
-         {"d.yaml:2: scenario.seconds", "d.yaml:4: hosts[0].colour: expected a known name", "flows[0].rate",
-          "flows[0].key", "d.yaml:7: happenings[0].gateway",
+         {"d.yaml:2: scenario.seconds", "d.yaml:4: hosts[0].colour: expected a known name",
+          "flows[0].rate", "flows[0].key", "d.yaml:7: happenings[0].gateway",
           "d.yaml:8: happenings[1].do: expected one of cut-answers", "scenario.config"})
         EXPECT_NE(all.find(words), std::string::npos) << words << "\n" << all;
 }
 
 TEST(Tally, WorksWaitsTurnsAwayAndFallsOver) {
-    using namespace silverreach::standins;
+    using namespace silverreach::fakes;
     TallySettings s;
     s.cores = 1, s.room = 1;
     Tally host(s, Micros(0));
@@ -201,9 +209,10 @@
     const auto done = host.advance(Micros(500));
     ASSERT_EQ(done.size(), 2u);
     EXPECT_EQ(done[1].job, 2u);
-    EXPECT_EQ(done[1].at, Micros(200)) << "the second begins when the first ends, not when it is looked at";
-    s.cold = Micros(10'000'000), s.start_capacity = 0.1, s.fall_multiple = 2, s.fall_time = Micros(1'000'000),
-    s.room = 1000;
+    EXPECT_EQ(done[1].at, Micros(200))
+        << "the second begins when the first ends, not when it is looked at";
+    s.cold = Micros(10'000'000), s.start_capacity = 0.1, s.fall_multiple = 2,
+    s.fall_time = Micros(1'000'000), s.room = 1000;
     Tally cold(s, Micros(0));
     EXPECT_NEAR(cold.capacity(Micros(0)), 0.1, 1e-9);
     int taken = 0;
--- a/tests/soak/ledger.cpp
+++ b/tests/soak/ledger.cpp
@@ -5,9 +5,15 @@
 
 namespace soak {
 namespace {
-double seconds(Micros t) { return static_cast<double>(t.count()) / 1e6; }
-std::string milliseconds(Micros t) { return std::to_string(t.count() / 1000) + " ms"; }
-std::string named(std::uint64_t id) { return "request " + std::to_string(id) + ": "; }
+double seconds(Micros t) {
+    return static_cast<double>(t.count()) / 1e6;
+}
+std::string milliseconds(Micros t) {
+    return std::to_string(t.count() / 1000) + " ms";
+}
+std::string named(std::uint64_t id) {
+    return "request " + std::to_string(id) + ": ";
+}
 }  // namespace
 
 std::string text_of(Breach breach) {
@@ -29,7 +35,8 @@
     request.capped = capped;
 }
 
-void Ledger::answered(Micros at, std::uint64_t id, bool whole_value, const std::string& value, Micros turn) {
+void Ledger::answered(Micros at, std::uint64_t id, bool whole_value, const std::string& value,
+                      Micros turn) {
     const auto it = requests_.find(id);
     if (it == requests_.end()) return violation(at, Breach::second_word, "an answer to nothing");
     Request& request = it->second;
@@ -61,10 +68,12 @@
                   milliseconds(at - it->second.sent) + " after it was sent");
 }
 
-void Ledger::attempt(Micros at, std::uint64_t id, const std::string& host, int cell, std::int64_t told_ms) {
+void Ledger::attempt(Micros at, std::uint64_t id, const std::string& host, int cell,
+                     std::int64_t told_ms) {
     ++attempts_;
     const auto it = requests_.find(id);
-    if (it == requests_.end()) return violation(at, Breach::malformed, named(id) + "no client sent it");
+    if (it == requests_.end())
+        return violation(at, Breach::malformed, named(id) + "no client sent it");
     Request& request = it->second;
     const Micros told = std::chrono::milliseconds(told_ms);
     if (request.closed && at > *request.closed + figures_.gone_slack + lag_)
@@ -72,7 +81,8 @@
                   named(id) + "begun " + milliseconds(at - *request.closed) + " after the close");
     if (at + told > request.until + figures_.deadline_slack + lag_)
         violation(at, Breach::deadline,
-                  named(id) + "told " + milliseconds(told) + ", left " + milliseconds(request.until - at));
+                  named(id) + "told " + milliseconds(told) + ", left " +
+                      milliseconds(request.until - at));
     judge_repeat(at, id, request, cell);
     if (request.capped && request.attempts.empty()) judge_ceiling(at, id);
     judge_start(at, host);
@@ -81,11 +91,14 @@
 
 void Ledger::judge_repeat(Micros at, std::uint64_t id, const Request& request, int cell) {
     for (const Attempt& earlier : request.attempts) {
-        if (earlier.out) violation(at, Breach::two_out, named(id) + "one is out at " + earlier.host);
+        if (earlier.out)
+            violation(at, Breach::two_out, named(id) + "one is out at " + earlier.host);
         if (!earlier.ran || request.effect == Effect::safe) continue;
         if (request.effect == Effect::unsafe)
-            violation(at, Breach::twice, named(id) + "unsafe, and it may have run at " + earlier.host);
-        else if (cell != earlier.cell) violation(at, Breach::twice, named(id) + "keyed, outside its cell");
+            violation(at, Breach::twice,
+                      named(id) + "unsafe, and it may have run at " + earlier.host);
+        else if (cell != earlier.cell)
+            violation(at, Breach::twice, named(id) + "keyed, outside its cell");
         else if (at - earlier.at > figures_.repeat_window + figures_.answer_slack + lag_)
             violation(at, Breach::twice,
                       named(id) + "keyed, " + milliseconds(at - earlier.at) + " after the first");
@@ -93,18 +106,23 @@
 }
 
 void Ledger::judge_ceiling(Micros at, std::uint64_t id) {
-    if (!capped_at_) capped_level_ = figures_.hard_burst;
+    if (!capped_at_)
+        capped_level_ = figures_.hard_burst;
     else
-        capped_level_ =
-            std::min(figures_.hard_burst, capped_level_ + seconds(at - *capped_at_) * figures_.hard_rate);
+        capped_level_ = std::min(figures_.hard_burst,
+                                 capped_level_ + seconds(at - *capped_at_) * figures_.hard_rate);
     capped_at_ = at;
     capped_level_ -= 1;
     if (capped_level_ < -figures_.hard_slack - seconds(lag_) * figures_.hard_rate)
         violation(at, Breach::ceiling, named(id) + std::to_string(-capped_level_) + " units over");
 }
 
-void Ledger::host_started(Micros at, const std::string& host) { starts_[host] = {at, {}}; }
-void Ledger::host_forgotten(const std::string& host) { starts_.erase(host); }
+void Ledger::host_started(Micros at, const std::string& host) {
+    starts_[host] = {at, {}};
+}
+void Ledger::host_forgotten(const std::string& host) {
+    starts_.erase(host);
+}
 
 void Ledger::judge_start(Micros at, const std::string& host) {
     const auto it = starts_.find(host);
@@ -144,9 +162,11 @@
 }
 void Ledger::attempt_by(Micros at, const std::string& gateway, const std::string& host) {
     const auto it = drained_.find({gateway, host});
-    if (it != drained_.end() && at > it->second + figures_.drain_grace + figures_.answer_slack + lag_)
-        violation(at, Breach::drained,
-                  gateway + " sent to " + host + " " + milliseconds(at - it->second) + " after the word");
+    if (it != drained_.end() &&
+        at > it->second + figures_.drain_grace + figures_.answer_slack + lag_)
+        violation(
+            at, Breach::drained,
+            gateway + " sent to " + host + " " + milliseconds(at - it->second) + " after the word");
 }
 
 bool Ledger::attempted(std::uint64_t id) const {
@@ -159,7 +179,8 @@
 
 void Ledger::finish(Micros at) {
     for (const auto& [id, request] : requests_)
-        if (!request.answered && !request.excused && at > request.until + figures_.late_slack + lag_)
+        if (!request.answered && !request.excused &&
+            at > request.until + figures_.late_slack + lag_)
             violation(at, Breach::lost, named(id) + "never answered");
 }
 
--- a/tests/soak/ledger.h
+++ b/tests/soak/ledger.h
@@ -1,5 +1,5 @@
-// The soak test's judge: it is told what passed on the sockets and says which promises were broken. No I/O
-// and no clock: every call names the time.
+// The soak test's judge: it is told what passed on the sockets and says which promises were broken.
+// No I/O and no clock: every call names the time.
 #pragma once
 
 #include <chrono>
@@ -13,7 +13,11 @@
 namespace soak {
 using Micros = std::chrono::microseconds;
 
-enum class Effect { safe, keyed, unsafe };
+enum class Effect {
+    safe,
+    keyed,
+    unsafe
+};
 enum class Breach {
     lost,         // taken, and never answered
     late,         // answered after its time
@@ -59,19 +63,24 @@
     void observer_lag(Micros lag) { lag_ = lag; }
 
     void sent(Micros at, std::uint64_t id, Effect effect, Micros deadline, bool capped);
-    // `turn`: when the answer before it on its connection came; waiting for that one does not count.
-    void answered(Micros at, std::uint64_t id, bool whole_value, const std::string& value, Micros turn);
+    // `turn`: when the answer before it on its connection came; waiting for that one does not
+    // count.
+    void answered(Micros at, std::uint64_t id, bool whole_value, const std::string& value,
+                  Micros turn);
     void client_closed(Micros at, std::uint64_t id);  // by the client itself
-    void excused(std::uint64_t id);  // it may go unanswered: its gateway was killed, or never read it
+    void excused(
+        std::uint64_t id);  // it may go unanswered: its gateway was killed, or never read it
     // The gateway ended the connection with this request open.
     void dropped(Micros at, std::uint64_t id, const std::string& gateway);
-    void attempt(Micros at, std::uint64_t id, const std::string& host, int cell, std::int64_t told_ms);
+    void attempt(Micros at, std::uint64_t id, const std::string& host, int cell,
+                 std::int64_t told_ms);
     void attempt_over(std::uint64_t id, const std::string& host, bool ran);
     void told_drained(Micros at, const std::string& gateway, const std::string& host);
     void told_ready(const std::string& gateway, const std::string& host);
     void attempt_by(Micros at, const std::string& gateway, const std::string& host);
     void host_started(Micros at, const std::string& host);
-    void host_forgotten(const std::string& host);  // nobody listens there: its start does not bind any more
+    void host_forgotten(
+        const std::string& host);  // nobody listens there: its start does not bind any more
     void violation(Micros at, Breach breach, std::string what);
     void finish(Micros at);  // what is unanswered by now is lost
 
--- a/tests/soak/ledger_test.cpp
+++ b/tests/soak/ledger_test.cpp
@@ -9,7 +9,8 @@
 namespace {
 std::vector<Breach> breaches(const Ledger& ledger) {
     std::vector<Breach> out;
-    for (const Violation& v : ledger.violations()) out.push_back(v.breach);
+    for (const Violation& v : ledger.violations())
+        out.push_back(v.breach);
     return out;
 }
 using Breaches = std::vector<Breach>;
@@ -44,8 +45,8 @@
     l.sent(0ms, 4, Effect::safe, 1000ms, false);
     l.dropped(100ms, 4, "n1");
     l.finish(3s);
-    EXPECT_EQ(breaches(l), (Breaches{Breach::late, Breach::second_word, Breach::late, Breach::foreign,
-                                     Breach::lost, Breach::lost}));
+    EXPECT_EQ(breaches(l), (Breaches{Breach::late, Breach::second_word, Breach::late,
+                                     Breach::foreign, Breach::lost, Breach::lost}));
 }
 
 TEST(SoakLedger, EffectsTwiceAndTwoOut) {
@@ -65,7 +66,8 @@
     l.sent(0ms, 4, Effect::safe, 3000ms, false);
     l.attempt(10ms, 4, "h1", 1, 1000);
     l.attempt(20ms, 4, "h2", 1, 1000);
-    EXPECT_EQ(breaches(l), (Breaches{Breach::twice, Breach::twice, Breach::twice, Breach::two_out}));
+    EXPECT_EQ(breaches(l),
+              (Breaches{Breach::twice, Breach::twice, Breach::twice, Breach::two_out}));
 }
 
 TEST(SoakLedger, GoneClientsDeadlinesAndDrains) {
--- a/tests/soak/troubles.cpp
+++ b/tests/soak/troubles.cpp
@@ -1,4 +1,5 @@
-// The troubles of a soak day. Several run at a time: each is begun at its moment and undone by itself.
+// The troubles of a soak day. Several run at a time: each is begun at its moment and undone by
+// itself.
 #include <fmt/format.h>
 #include <signal.h>
 
@@ -53,7 +54,9 @@
             next();
         });
     }
-    void later(Micros wait, std::function<void()> call) { world_.loop.after(wait, std::move(call)); }
+    void later(Micros wait, std::function<void()> call) {
+        world_.loop.after(wait, std::move(call));
+    }
     void told(const std::string& what) { tell_(what); }
     // One that runs and is not about to end.
     Gateway* some_gateway(int& number) {
@@ -126,7 +129,8 @@
         const std::string text = world_.config(number);
         gateway->process->write_file(text.substr(0, text.size() / 2));
         gateway->process->signal(SIGHUP);
-        later(300ms, [this, gateway, number] { gateway->process->configure(world_.config(number)); });
+        later(300ms,
+              [this, gateway, number] { gateway->process->configure(world_.config(number)); });
     }
     void stall() {
         int number = 0;
@@ -156,7 +160,8 @@
         int number = 0;
         Gateway* gateway = some_gateway(number);
         if (!gateway) return;
-        const std::int64_t by = (world_.uniform() < 0.5 ? 1 : -1) * (world_.uniform() < 0.5 ? 3600 : 5);
+        const std::int64_t by =
+            (world_.uniform() < 0.5 ? 1 : -1) * (world_.uniform() < 0.5 ? 3600 : 5);
         told(fmt::format("{} wall clock {} s", gateway->name, by));
         gateway->process->faults->wall_step_us = by * 1'000'000;
     }
@@ -170,7 +175,8 @@
         const auto mode = static_cast<HostMode>(1 + world_.below(5));
         told(fmt::format("{} mode {}", host.uid(), static_cast<int>(mode)));
         host.mode(mode);
-        later(std::chrono::milliseconds(500 + world_.below(1500)), [&host] { host.mode(HostMode::well); });
+        later(std::chrono::milliseconds(500 + world_.below(1500)),
+              [&host] { host.mode(HostMode::well); });
     }
     void host_restart() {
         Host& host = *world_.hosts[static_cast<std::size_t>(world_.below(world_.size.hosts))];
@@ -206,8 +212,8 @@
         const int which = world_.below(5);
         told(fmt::format("{} discovery trouble {}", gateway->name, which));
         if (which == 0) return directory.end_watches();
-        constexpr std::array modes{DirectoryMode::silent, DirectoryMode::refuses, DirectoryMode::slow,
-                                   DirectoryMode::torn};
+        constexpr std::array modes{DirectoryMode::silent, DirectoryMode::refuses,
+                                   DirectoryMode::slow, DirectoryMode::torn};
         directory.mode(modes[static_cast<std::size_t>(which - 1)]);
         if (which == 3) directory.end_watches();
         later(std::chrono::milliseconds(1000 + world_.below(3000)),
--- a/tests/soak/world.cpp
+++ b/tests/soak/world.cpp
@@ -9,7 +9,8 @@
 namespace {
 using namespace std::chrono_literals;
 constexpr Micros ready_most = 10s, lag_period = 5ms, lag_memory = 500ms, lag_least = 20ms;
-constexpr Micros crossing = 100ms;  // a request may have been written while its connection was being ended
+constexpr Micros crossing =
+    100ms;  // a request may have been written while its connection was being ended
 
 std::string hex(std::uint64_t n) {
     char text[17];
@@ -19,7 +20,8 @@
 std::string command(const std::vector<std::string>& words) {
     std::string out;
     resp::append_array(out, words.size());
-    for (const std::string& word : words) resp::append_bulk(out, word);
+    for (const std::string& word : words)
+        resp::append_bulk(out, word);
     return out;
 }
 std::int64_t figure(const std::string& list, const std::string& name) {
@@ -34,7 +36,8 @@
 }
 }  // namespace
 
-// ---- hosts -----------------------------------------------------------------------------------------------
+// ---- hosts
+// -----------------------------------------------------------------------------------------------
 
 struct Host::Peer : event::StreamOwner {
     Host& host;
@@ -44,13 +47,15 @@
     std::uint64_t working_on = 0;
     bool over = false;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
-    Peer(Host& h, event::Fd fd, int g) : host(h), gateway(g), stream(h.world_.loop, std::move(fd), *this) {}
+    Peer(Host& h, event::Fd fd, int g)
+        : host(h), gateway(g), stream(h.world_.loop, std::move(fd), *this) {}
     void on_data(std::string_view bytes) override {
         got.append(bytes);
         resp::CommandReader reader;
         while (!over && reader.look(got) == resp::Got::whole) {
             std::vector<std::string> words;
-            for (std::size_t i = 0; i < reader.words(); ++i) words.emplace_back(reader.word(got, i));
+            for (std::size_t i = 0; i < reader.words(); ++i)
+                words.emplace_back(reader.word(got, i));
             got.erase(0, reader.size());
             reader.next();
             host.command(*this, words);
@@ -59,13 +64,16 @@
     void on_end() override { end(false); }
     void on_broken(int) override { end(false); }
     void work_over(bool ran) {
-        if (working_on != 0) host.world_.ledger.attempt_over(std::exchange(working_on, 0), host.uid(), ran);
+        if (working_on != 0)
+            host.world_.ledger.attempt_over(std::exchange(working_on, 0), host.uid(), ran);
     }
     void end(bool by_reset) {
         if (std::exchange(over, true)) return;
         work_over(true);
-        if (by_reset) stream.reset();
-        else stream.close();
+        if (by_reset)
+            stream.reset();
+        else
+            stream.close();
     }
 };
 
@@ -76,7 +84,9 @@
             [this, g](event::Fd fd, std::string) { accepted(std::move(fd), g); }));
 }
 Host::~Host() = default;
-std::string Host::uid() const { return "s-" + std::to_string(number_); }
+std::string Host::uid() const {
+    return "s-" + std::to_string(number_);
+}
 
 void Host::accepted(event::Fd fd, int gateway) {
     std::erase_if(peers_, [](const auto& peer) { return peer->over; });
@@ -88,13 +98,16 @@
     if (words[0] == "PING") return peer.stream.write("+PONG\r\n");
     if (words[0] == "INFO") return peer.stream.write("$17\r\ninflight=1,queue=\r\n");
     const Micros now = world_.now();
-    if (words.size() < 4) return world_.ledger.violation(now, Breach::malformed, "a command of few words");
+    if (words.size() < 4)
+        return world_.ledger.violation(now, Breach::malformed, "a command of few words");
     const std::uint64_t id = std::stoull(words[2], nullptr, 16);
     // A cancel that lies in its socket comes before what was sent after it.
     auto& others = world_.at_hosts[id];
-    for (const auto& look : others) look();
+    for (const auto& look : others)
+        look();
     world_.ledger.attempt(now, id, uid(), cell(), figure(words[3], "d"));
-    world_.ledger.attempt_by(now, world_.gateways[static_cast<std::size_t>(peer.gateway)].name, uid());
+    world_.ledger.attempt_by(now, world_.gateways[static_cast<std::size_t>(peer.gateway)].name,
+                             uid());
     peer.working_on = id;
     others.push_back([&peer, alive = std::weak_ptr<bool>(peer.alive)] {
         if (!alive.expired() && !peer.over && peer.stream.left()) peer.end(false);
@@ -134,7 +147,8 @@
 
 void Host::crash() {
     up_ = false;
-    for (const auto& peer : peers_) peer->end(true);
+    for (const auto& peer : peers_)
+        peer->end(true);
     world_.ledger.host_forgotten(uid());
 }
 void Host::start() {
@@ -144,10 +158,12 @@
     world_.ledger.host_started(world_.now(), uid());
 }
 void Host::reset_some() {
-    for (std::size_t i = 0; i < peers_.size(); i += 2) peers_[i]->end(true);
+    for (std::size_t i = 0; i < peers_.size(); i += 2)
+        peers_[i]->end(true);
 }
 
-// ---- discovery -------------------------------------------------------------------------------------------
+// ---- discovery
+// -------------------------------------------------------------------------------------------
 
 struct Directory::Watcher : event::StreamOwner {
     Directory& directory;
@@ -156,7 +172,8 @@
     bool begun = false, answering = false, over = false;
     bool deaf = false;  // it fell silent for good
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
-    Watcher(Directory& d, event::Fd fd) : directory(d), stream(d.world_.loop, std::move(fd), *this) {}
+    Watcher(Directory& d, event::Fd fd)
+        : directory(d), stream(d.world_.loop, std::move(fd), *this) {}
     void on_data(std::string_view bytes) override {
         got.append(bytes);
         if (begun || got.find("\r\n\r\n") == std::string::npos) return;
@@ -196,7 +213,8 @@
 void Directory::mode(DirectoryMode mode) {
     mode_ = mode;
     if (mode == DirectoryMode::silent)
-        for (const auto& w : watchers_) w->deaf = true;
+        for (const auto& w : watchers_)
+            w->deaf = true;
     if (mode == DirectoryMode::refuses) end_watches();
 }
 void Directory::end_watches() {
@@ -211,8 +229,8 @@
 // The whole list each time, or a torn line that is followed by the end.
 void Directory::tell(Watcher& watcher, bool whole) {
     const Gateway& gateway = world_.gateways[static_cast<std::size_t>(gateway_)];
-    const std::string list = R"({"rev":)" + std::to_string(world_.revision) + R"(,"all":true,"targets":[)" +
-                             world_.targets(gateway_) + "]}\n";
+    const std::string list = R"({"rev":)" + std::to_string(world_.revision) +
+                             R"(,"all":true,"targets":[)" + world_.targets(gateway_) + "]}\n";
     if (mode_ == DirectoryMode::torn && !whole) {
         watcher.say(list.substr(0, list.size() / 2));
         watcher.over = true;
@@ -223,7 +241,8 @@
         const int number = static_cast<int>(&host - world_.hosts.data());
         if (world_.draining.count(number) || world_.gone.count(number))
             world_.ledger.told_drained(world_.now(), gateway.name, host->uid());
-        else world_.ledger.told_ready(gateway.name, host->uid());
+        else
+            world_.ledger.told_ready(gateway.name, host->uid());
     }
 }
 void Directory::beat() {
@@ -232,11 +251,14 @@
     world_.loop.after(1900ms, [this] { beat(); });
 }
 
-// ---- clients ---------------------------------------------------------------------------------------------
+// ---- clients
+// ---------------------------------------------------------------------------------------------
 
 class World::Client : public event::StreamOwner {
   public:
-    Client(World& world, int gateway) : world_(world), home_(gateway), gateway_(gateway) { again(0us); }
+    Client(World& world, int gateway) : world_(world), home_(gateway), gateway_(gateway) {
+        again(0us);
+    }
 
     void on_data(std::string_view bytes) override {
         got_.append(bytes);
@@ -246,11 +268,12 @@
             got_.erase(0, size);
             reader_.next();
             if (open_.empty()) {
-                world_.ledger.violation(world_.now(), Breach::second_word, "an answer that nobody asked for");
+                world_.ledger.violation(world_.now(), Breach::second_word,
+                                        "an answer that nobody asked for");
                 continue;
             }
-            world_.ledger.answered(world_.now(), open_.front().id, reply.kind == resp::Kind::bulk, reply.text,
-                                   turn_);
+            world_.ledger.answered(world_.now(), open_.front().id, reply.kind == resp::Kind::bulk,
+                                   reply.text, turn_);
             turn_ = world_.now();
             open_.pop_front();
         }
@@ -276,7 +299,8 @@
         const double which = world_.uniform();
         const int burst = which < 0.005 ? 400 : which < 0.03 ? 100 : which < 0.2 ? 5 : 1;
         std::string bytes;
-        for (int i = 0; i < burst; ++i) bytes += request();
+        for (int i = 0; i < burst; ++i)
+            bytes += request();
         stream_->write(bytes);
         if (world_.uniform() < 0.02) leave();
     }
@@ -302,7 +326,9 @@
     std::string request() {
         const std::uint64_t id = world_.next_id();
         const double which = world_.uniform();
-        const Effect effect = which < 0.6 ? Effect::safe : which < 0.85 ? Effect::keyed : Effect::unsafe;
+        const Effect effect = which < 0.6    ? Effect::safe
+                              : which < 0.85 ? Effect::keyed
+                                             : Effect::unsafe;
         const bool capped = world_.uniform() < 0.1;
         const int d = world_.uniform() < 0.1 ? 200 : 1500;
         std::string list = "c=" +
@@ -312,9 +338,9 @@
                            ",t=" + (capped ? "capped" : "team") + ",d=" + std::to_string(d) +
                            (effect == Effect::keyed ? ",k=" + hex(id) : "") +
                            ",units=1,spread=" + std::to_string(world_.size.gateways) + ",first=0";
-        std::vector<std::string> words{effect == Effect::safe ? "SVC.QUERY" : "SVC.SUBMIT",
-                                       hex(capped ? 7 : 100 + static_cast<std::uint64_t>(world_.below(40))),
-                                       hex(id), list};
+        std::vector<std::string> words{
+            effect == Effect::safe ? "SVC.QUERY" : "SVC.SUBMIT",
+            hex(capped ? 7 : 100 + static_cast<std::uint64_t>(world_.below(40))), hex(id), list};
         if (effect != Effect::safe) words.push_back("SHEET");
         const std::string bytes = command(words);
         world_.ledger.sent(world_.now(), id, effect, std::chrono::milliseconds(d), capped);
@@ -323,12 +349,16 @@
     }
     void leave() {
         const Micros now = world_.now();
-        for (const Open& open : open_) world_.ledger.client_closed(now, open.id);
+        for (const Open& open : open_)
+            world_.ledger.client_closed(now, open.id);
         open_.clear();
-        if (world_.uniform() < 0.5) stream_->reset();
-        else stream_->close();
+        if (world_.uniform() < 0.5)
+            stream_->reset();
+        else
+            stream_->close();
     }
-    // What the gateway had taken is lost with a live one. What crossed its close goes out once more.
+    // What the gateway had taken is lost with a live one. What crossed its close goes out once
+    // more.
     void ended() {
         stream_->close();
         const Gateway& gateway = world_.gateways[index()];
@@ -339,11 +369,14 @@
         std::deque<Open> once_more;
         for (Open& open : open_) {
             const bool was_read = world_.ledger.attempted(open.id);
-            if (killed && gateway.terminated == 0us) world_.ledger.excused(open.id);
-            else if (killed && open.written > gateway.terminated + 700ms) world_.ledger.excused(open.id);
+            if (killed && gateway.terminated == 0us)
+                world_.ledger.excused(open.id);
+            else if (killed && open.written > gateway.terminated + 700ms)
+                world_.ledger.excused(open.id);
             else if (!was_read && now - open.written < crossing && !open.bytes.empty())
                 once_more.push_back({open.id, open.written, std::move(open.bytes)});
-            else world_.ledger.dropped(now, open.id, gateway.name);
+            else
+                world_.ledger.dropped(now, open.id, gateway.name);
         }
         open_ = std::move(once_more);
         if (!open_.empty())
@@ -362,7 +395,8 @@
     Micros turn_{0};  // when the latest answer came
 };
 
-// ---- the world -------------------------------------------------------------------------------------------
+// ---- the world
+// -------------------------------------------------------------------------------------------
 
 World::World(event::Loop& l, Size s, std::uint64_t seed, Ledger& judge)
     : loop(l), size(s), ledger(judge), random(seed) {
@@ -375,7 +409,8 @@
     }
     ::fcntl(ends[1], F_SETFL, 0);
     gateways.resize(static_cast<std::size_t>(size.gateways));
-    for (int h = 0; h < size.hosts; ++h) hosts.push_back(std::make_unique<Host>(*this, h));
+    for (int h = 0; h < size.hosts; ++h)
+        hosts.push_back(std::make_unique<Host>(*this, h));
     for (int g = 0; g < size.gateways; ++g) {
         Gateway& gateway = gateways[static_cast<std::size_t>(g)];
         gateway.name = "n" + std::to_string(g);
@@ -386,15 +421,19 @@
         Gateway& gateway = gateways[static_cast<std::size_t>(g)];
         gateway.process = std::make_unique<NodeProcess>("127.0.0.1:0");
     }
-    for (int g = 0; g < size.gateways; ++g) start_gateway(g);
     for (int g = 0; g < size.gateways; ++g)
-        for (int c = 0; c < size.clients_each; ++c) clients_.push_back(std::make_unique<Client>(*this, g));
+        start_gateway(g);
+    for (int g = 0; g < size.gateways; ++g)
+        for (int c = 0; c < size.clients_each; ++c)
+            clients_.push_back(std::make_unique<Client>(*this, g));
     watch_processes();
     lag_due_ = now() + lag_period;
     measure_lag();
 }
 World::~World() = default;
-void World::stop_clients() { clients_stopped_ = true; }
+void World::stop_clients() {
+    clients_stopped_ = true;
+}
 
 void World::keep_logs(const std::string& folder) const {
     for (const Gateway& gateway : gateways)
@@ -408,8 +447,8 @@
         const Host& host = *hosts[h];
         out += std::string(out.empty() ? "" : ",") + R"({"uid":")" + host.uid() +
                R"(","endpoint":"127.0.0.1:)" + std::to_string(host.port(gateway)) +
-               R"(","az":"a","model":"m","pod_group":)" + std::to_string(host.cell()) + R"(,"state":")" +
-               (draining.count(static_cast<int>(h)) ? "draining" : "ready") +
+               R"(","az":"a","model":"m","pod_group":)" + std::to_string(host.cell()) +
+               R"(,"state":")" + (draining.count(static_cast<int>(h)) ? "draining" : "ready") +
                R"(","capacity_hint":1,"boot_ms":)" + std::to_string(host.boot_ms) + "}";
     }
     return out;
@@ -426,9 +465,10 @@
            std::to_string(directory.port()) + R"(","seed":"8c1f30d27a5be9)" +
            hex(static_cast<std::uint64_t>(gateway.starts * 100 + g)).substr(14) +
            R"(","limits":{"cores":1.0,"memory_mb":64,"sockets":512},"peer_listen":")" +
-           test_support::own_address() + ":" + std::to_string(gateway.process->port()) + R"(","peers":[)" +
-           peers + R"(],"known":{"rev":1,"all":true,"targets":[)" + targets(g) + R"(]},"settings":{"rank":)" +
-           std::to_string(g) + R"(,"instances":)" + std::to_string(size.gateways) +
+           test_support::own_address() + ":" + std::to_string(gateway.process->port()) +
+           R"(","peers":[)" + peers + R"(],"known":{"rev":1,"all":true,"targets":[)" + targets(g) +
+           R"(]},"settings":{"rank":)" + std::to_string(g) + R"(,"instances":)" +
+           std::to_string(size.gateways) +
            R"(,"locality":"a","tickUs":2000,
 "requestClasses":[{"name":"lookup","effect":"retryable","deadlineUs":2000000,"promiseUs":900000,"value":3},
  {"name":"order","effect":"dedup","dedupScope":"cell","deadlineUs":2000000,"promiseUs":1200000,"repeatWindowUs":1200000},
@@ -456,17 +496,19 @@
 
 void World::list_changed() {
     ++revision;
-    for (Gateway& gateway : gateways) gateway.followed().tell_changes();
+    for (Gateway& gateway : gateways)
+        gateway.followed().tell_changes();
 }
 
-// Sees processes that come up, do not, or end by themselves. Ready is one that accepts a connection.
+// Sees processes that come up, do not, or end by themselves. Ready is one that accepts a
+// connection.
 void World::watch_processes() {
     for (Gateway& gateway : gateways) {
         if (!gateway.expected_down) {
             if (const auto status = gateway.process->ended()) {
                 ledger.violation(now(), Breach::crash,
-                                 gateway.name + " ended with status " + std::to_string(*status) + "; " +
-                                     gateway.process->log().substr(0, 300));
+                                 gateway.name + " ended with status " + std::to_string(*status) +
+                                     "; " + gateway.process->log().substr(0, 300));
                 gateway.expected_down = true, gateway.ready = false;
             }
         }
@@ -476,7 +518,8 @@
         at.sin_family = AF_INET;
         ::inet_pton(AF_INET, test_support::own_address().c_str(), &at.sin_addr);
         at.sin_port = htons(static_cast<std::uint16_t>(gateway.process->port()));
-        if (::connect(look.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0) gateway.ready = true;
+        if (::connect(look.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0)
+            gateway.ready = true;
         else if (now() - gateway.started > ready_most) {
             ledger.violation(now(), Breach::not_ready,
                              gateway.name + (gateway.full_log ? ", its log unread" : ""));
@@ -489,9 +532,11 @@
 void World::measure_lag() {
     const Micros at = now();
     lags_.emplace_back(at, std::max(0us, at - lag_due_));
-    while (lags_.front().first < at - lag_memory) lags_.pop_front();
+    while (lags_.front().first < at - lag_memory)
+        lags_.pop_front();
     Micros most = 0us;
-    for (const auto& [when, lag] : lags_) most = std::max(most, lag);
+    for (const auto& [when, lag] : lags_)
+        most = std::max(most, lag);
     ledger.observer_lag(lag_least + most);
     lag_due_ = at + lag_period;
     loop.after(lag_period, [this] { measure_lag(); });
--- a/tests/soak/world.h
+++ b/tests/soak/world.h
@@ -1,6 +1,6 @@
-// What surrounds the gateways in the soak test: hosts, discovery and clients on loopback, all in one process
-// and on one loop, each telling the ledger what passes. Hosts listen on a port of their own for each gateway,
-// so that it is known who sent what.
+// What surrounds the gateways in the soak test: hosts, discovery and clients on loopback, all in
+// one process and on one loop, each telling the ledger what passes. Hosts listen on a port of their
+// own for each gateway, so that it is known who sent what.
 #pragma once
 
 #include <deque>
@@ -31,7 +31,14 @@
 class World;
 
 // How a host treats what comes now.
-enum class HostMode { well, hangs, resets, fails, busy, spoils };
+enum class HostMode {
+    well,
+    hangs,
+    resets,
+    fails,
+    busy,
+    spoils
+};
 
 class Host {
   public:
@@ -61,7 +68,13 @@
     std::vector<std::unique_ptr<Peer>> peers_;
 };
 
-enum class DirectoryMode { well, silent, refuses, slow, torn };
+enum class DirectoryMode {
+    well,
+    silent,
+    refuses,
+    slow,
+    torn
+};
 
 // Discovery as one gateway sees it.
 class Directory {
@@ -137,7 +150,8 @@
     std::deque<std::pair<Micros, Micros>> lags_;
 };
 
-// Makes the troubles of a day for `span`: which, when and where, by the world's seed. `tell` hears of each.
+// Makes the troubles of a day for `span`: which, when and where, by the world's seed. `tell` hears
+// of each.
 void play_troubles(World& world, Micros span, std::function<void(std::string)> tell);
 
 }  // namespace soak
--- a/tests/support/faults.cpp
+++ b/tests/support/faults.cpp
@@ -1,5 +1,6 @@
-// The preloaded side of fault injection: wraps system calls of the C library, fails them as the shared table
-// says, cuts reads and writes short, and steps the wall clock. Without a table every call passes through.
+// The preloaded side of fault injection: wraps system calls of the C library, fails them as the
+// shared table says, cuts reads and writes short, and steps the wall clock. Without a table every
+// call passes through.
 #include "tests/support/faults.h"
 
 #include <dlfcn.h>
@@ -56,7 +57,8 @@
     Table* t = table();
     if (!t) return false;
     Rule& rule = t->rules[call];
-    if (rule.until_us == 0 || now_us() >= rule.until_us || rule.times <= 0 || !chance(rule.per_mille))
+    if (rule.until_us == 0 || now_us() >= rule.until_us || rule.times <= 0 ||
+        !chance(rule.per_mille))
         return false;
     --rule.times;
     ++rule.hit;
@@ -105,7 +107,9 @@
 int bind(int fd, const sockaddr* address, socklen_t size) noexcept {
     return fails(bind_call) ? -1 : REAL(bind)(fd, address, size);
 }
-int listen(int fd, int backlog) noexcept { return fails(listen_call) ? -1 : REAL(listen)(fd, backlog); }
+int listen(int fd, int backlog) noexcept {
+    return fails(listen_call) ? -1 : REAL(listen)(fd, backlog);
+}
 ssize_t recv(int fd, void* to, size_t size, int flags) {
     if (fails(recv_call)) return -1;
     return REAL(recv)(fd, to, flags & MSG_PEEK ? size : cut(size), flags);
@@ -135,7 +139,9 @@
     va_end(rest);
     return fails(open_call) ? -1 : REAL(open)(name, flags, mode);
 }
-ssize_t read(int fd, void* to, size_t size) { return fails(read_call) ? -1 : REAL(read)(fd, to, cut(size)); }
+ssize_t read(int fd, void* to, size_t size) {
+    return fails(read_call) ? -1 : REAL(read)(fd, to, cut(size));
+}
 ssize_t write(int fd, const void* from, size_t size) {
     return fails(write_call) ? -1 : REAL(write)(fd, from, size);
 }
@@ -149,8 +155,12 @@
     }
     return REAL(pwrite)(fd, from, cut(size), at);
 }
-int fsync(int fd) { return fails(fsync_call) ? -1 : REAL(fsync)(fd); }
-int ftruncate(int fd, off_t size) noexcept { return fails(ftruncate_call) ? -1 : REAL(ftruncate)(fd, size); }
+int fsync(int fd) {
+    return fails(fsync_call) ? -1 : REAL(fsync)(fd);
+}
+int ftruncate(int fd, off_t size) noexcept {
+    return fails(ftruncate_call) ? -1 : REAL(ftruncate)(fd, size);
+}
 
 int clock_gettime(clockid_t clock, timespec* time) noexcept {
     static const auto call = REAL(clock_gettime);
--- a/tests/support/faults.h
+++ b/tests/support/faults.h
@@ -1,5 +1,6 @@
-// Fault injection for system calls: a table of rules that a preloaded library (faults.cpp) reads in the
-// process under test, and that a test or the soak test writes from outside through a shared file.
+// Fault injection for system calls: a table of rules that a preloaded library (faults.cpp) reads in
+// the process under test, and that a test or the soak test writes from outside through a shared
+// file.
 #pragma once
 
 #include <errno.h>
@@ -17,7 +18,8 @@
 
 namespace faults {
 
-// The calls that can be made to fail. connect_result is the error that a connect under way ends with.
+// The calls that can be made to fail. connect_result is the error that a connect under way ends
+// with.
 enum Call {
     accept4_call,
     socket_call,
@@ -45,8 +47,9 @@
 };
 struct Table {
     Rule rules[call_count];
-    std::atomic<std::int64_t> wall_step_us{0};                     // added to the wall clock
-    std::atomic<std::int64_t> short_per_mille{0}, short_bytes{1};  // reads and writes cut to so many bytes
+    std::atomic<std::int64_t> wall_step_us{0};  // added to the wall clock
+    std::atomic<std::int64_t> short_per_mille{0},
+        short_bytes{1};  // reads and writes cut to so many bytes
     std::atomic<std::int64_t> seed{1};
 };
 
@@ -91,7 +94,8 @@
     }
     std::int64_t hit(Call call) const { return table_->rules[call].hit; }
     void clear() {
-        for (Rule& rule : table_->rules) rule.until_us = 0;
+        for (Rule& rule : table_->rules)
+            rule.until_us = 0;
         table_->short_per_mille = 0;
     }
 
--- a/tests/support/late_host.h
+++ b/tests/support/late_host.h
@@ -16,8 +16,8 @@
 namespace test_support {
 using namespace silverreach;
 
-// A host whose connections do not come up until it takes those that wait: its queue is full from the start.
-// The system tries again after a second.
+// A host whose connections do not come up until it takes those that wait: its queue is full from
+// the start. The system tries again after a second.
 class LateHost {
   public:
     LateHost() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
@@ -36,7 +36,8 @@
         }
     }
     void take_those_that_wait() {
-        for (event::Fd got; (got = event::Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK)));)
+        for (event::Fd got;
+             (got = event::Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK)));)
             taken_.push_back(std::move(got));
     }
     // Bytes that have come on any of its connections.
--- a/tests/support/node_process.h
+++ b/tests/support/node_process.h
@@ -1,4 +1,5 @@
-// `silverreach node` as a process of its own, with fault injection preloaded and its log in a pipe or a file.
+// `silverreach node` as a process of its own, with fault injection preloaded and its log in a pipe
+// or a file.
 #pragma once
 
 #include <arpa/inet.h>
@@ -37,8 +38,8 @@
     ::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&at), &size);
     return ntohs(at.sin_port);
 }
-// A port of it that nobody listens on now, and that was not given out before: the system may offer a closed
-// one again.
+// A port of it that nobody listens on now, and that was not given out before: the system may offer
+// a closed one again.
 inline int free_port() {
     static std::set<int> given;
     const int port = some_free_port();
@@ -53,8 +54,8 @@
 
 class NodeProcess {
   public:
-    // `config` as the platform words it, listening on 127.0.0.1:0, which is replaced by a free port of
-    // own_address().
+    // `config` as the platform words it, listening on 127.0.0.1:0, which is replaced by a free port
+    // of own_address().
     explicit NodeProcess(const std::string& config, int port = free_port()) : port_(port) {
         std::string folder = "/tmp/silverreach-node-XXXXXX";
         if (!::mkdtemp(folder.data())) throw std::runtime_error(folder + ": cannot be made");
@@ -63,7 +64,8 @@
     }
     ~NodeProcess() {
         if (pid_ > 0) signal(SIGKILL), wait_for_end();
-        for (const char* name : {"/config.json", "/log"}) ::unlink((folder_ + name).c_str());
+        for (const char* name : {"/config.json", "/log"})
+            ::unlink((folder_ + name).c_str());
         ::rmdir(folder_.c_str());
     }
     NodeProcess(const NodeProcess&) = delete;
@@ -72,12 +74,15 @@
     void configure(const std::string& config) {
         write_file(replaced(config, "127.0.0.1:0", own_address() + ":" + std::to_string(port_)));
     }
-    void write_file(const std::string& text) { std::ofstream(config_file(), std::ios::trunc) << text; }
+    void write_file(const std::string& text) {
+        std::ofstream(config_file(), std::ios::trunc) << text;
+    }
     std::string config_file() const { return folder_ + "/config.json"; }
     std::string log_file() const { return folder_ + "/log"; }
     // Starts it; its log goes to `error_fd`, or to log_file().
     void start(int error_fd = -1) {
-        const event::Fd log(::open(log_file().c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
+        const event::Fd log(
+            ::open(log_file().c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
         pid_ = ::fork();
         if (pid_ != 0) return;
         ::dup2(error_fd >= 0 ? error_fd : log.get(), 2);
