--- a/scenario_runner/fleet/arrivals.cpp
+++ b/scenario_runner/fleet/arrivals.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "peer_message.h"
+#include "decisions/quota/lease_codec.h"
 
 namespace silverreach::scenario {
 
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -18,7 +18,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "decisions/rules.h"
+#include "decisions/attempt_rules.h"
 #include "silverreach/interface.h"
 
 namespace silverreach::core {
--- a/src/decisions/rules.cpp
+++ b/src/decisions/attempt_rules.cpp
@@ -1,8 +1,8 @@
-#include "decisions/rules.h"
+#include "decisions/attempt_rules.h"
 
 #include <numeric>
 
-#include "decisions/repeat.h"
+#include "decisions/deduplication.h"
 
 namespace silverreach::rules {
 
@@ -90,9 +90,9 @@
     if (request_class.idempotency == Idempotency::idempotent) return std::nullopt;
     if (request_class.idempotency == Idempotency::non_idempotent) return BlockReason::may_have_run;
     const Micros first = earlier.sent_at > Micros(0) ? earlier.sent_at : earlier.chosen_at;
-    if (!repeat_window_open(request_class, first, now))
+    if (!deduplication_window_open(request_class, first, now))
         return BlockReason::deduplication_window_closed;
-    if (!same_repeat_group(request_class.deduplication_scope, earlier.zone, earlier.cell, next.zone,
+    if (!in_same_deduplication_scope(request_class.deduplication_scope, earlier.zone, earlier.cell, next.zone,
                            next.cell))
         return BlockReason::outside_deduplication_scope;
     return std::nullopt;
--- /dev/null
+++ b/src/decisions/decision_context.h
@@ -0,0 +1,47 @@
+// What every part of the decision engine works with while one event is handled: the settings, the
+// time of the event, the list of actions, and the few running means that several parts read.
+#pragma once
+
+#include <algorithm>
+#include <vector>
+
+#include "decisions/stall_detector.h"
+#include "decisions/timer_token.h"
+#include "silverreach/interface.h"
+
+namespace silverreach {
+
+// Means over this instance's recent traffic.
+struct TrafficStatistics {
+    double mean_response_s = 0;  // seconds from sending an attempt to its success; 0: none seen yet
+    double mean_units = 1;       // cost of a request in units
+};
+
+// Owned by the engine; the parts hold a reference. Single-threaded like the engine.
+class DecisionContext {
+  public:
+    DecisionContext(Settings engine_settings, Micros started_at)
+        : settings(std::move(engine_settings)), boot(started_at) {}
+
+    // Begins the handling of an event at `event_time`; actions are appended to `output`.
+    void begin_event(Micros event_time, std::vector<Action>& output) {
+        now = event_time;
+        actions_ = &output;
+    }
+    void emit(Action action) { actions_->push_back(std::move(action)); }
+    // Starts a timer that comes back as TimerFired after `delay`, 1 us at least.
+    void start_timer(Micros delay, TimerKind kind, std::uint64_t subject) {
+        emit(SetTimer{std::max(delay, Micros{1}), encode_timer_token(kind, subject)});
+    }
+
+    const Settings settings;
+    const Micros boot;  // when this instance started, on its own clock
+    Micros now{0};      // time of the event that is being handled
+    StallDetector stall_detector;
+    TrafficStatistics traffic;
+
+  private:
+    std::vector<Action>* actions_ = nullptr;
+};
+
+}  // namespace silverreach
--- a/src/control.cpp
+++ b/src/decisions/decision_engine.cpp
@@ -7,10 +7,10 @@
 #include <unordered_map>
 #include <utility>
 
-#include "decisions/host_starts.h"
-#include "decisions/repeat.h"
-#include "fading.h"
-#include "peer_message.h"
+#include "decisions/slow_start_tracker.h"
+#include "decisions/deduplication.h"
+#include "decisions/decaying_counter.h"
+#include "decisions/quota/lease_codec.h"
 #include "silverreach/interface.h"
 
 namespace silverreach {
@@ -683,9 +683,9 @@
         const RequestClass& k = s_.classes[q.ask.request_class];
         if (!q.maybe_ran || k.idempotency == Idempotency::idempotent) return true;
         if (k.idempotency == Idempotency::non_idempotent ||
-            !repeat_window_open(k, q.first_maybe, now_))
+            !deduplication_window_open(k, q.first_maybe, now_))
             return false;
-        return same_repeat_group(k.deduplication_scope, h.entry.zone, h.entry.cell, q.group_zone,
+        return in_same_deduplication_scope(k.deduplication_scope, h.entry.zone, h.entry.cell, q.group_zone,
                                  q.group_cell);
     }
 
@@ -986,7 +986,7 @@
     void again(Request& q) {
         const RequestClass& k = s_.classes[q.ask.request_class];
         const bool keyed = k.idempotency == Idempotency::idempotency_key &&
-                           repeat_window_open(k, q.first_maybe, now_);
+                           deduplication_window_open(k, q.first_maybe, now_);
         const bool may = (!q.maybe_ran || k.idempotency == Idempotency::idempotent || keyed) &&
                          q.attempts < s_.max_attempts;
         // Turned away among fast answers: another host may well take it, and no work is added.
@@ -1218,7 +1218,7 @@
     Settings s_;
     std::mt19937_64 random_;
     Micros boot_, now_{0};
-    HostStarts starts_;
+    SlowStartTracker starts_;
     Actions* actions_ = nullptr;
     Micros last_beat_{0}, stalled_at_{0}, swept_at_{0}, heard_since_{0};
     std::uint32_t next_nonce_ = 1;
--- a/src/peer_message.cpp
+++ b/src/decisions/quota/lease_codec.cpp
@@ -1,4 +1,4 @@
-#include "peer_message.h"
+#include "decisions/quota/lease_codec.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/decisions/host_starts.h
+++ b/src/decisions/slow_start_tracker.h
@@ -11,14 +11,14 @@
 
 namespace silverreach {
 
-class HostStarts {
+class SlowStartTracker {
   public:
     // Lists that come this soon after the gateway's own start show what was there before it.
     static constexpr Micros first_lists{1'000'000};
     // A host that left the list is known again for so long.
     static constexpr Micros remembered{600'000'000};
 
-    explicit HostStarts(Micros boot) : boot_(boot) {}
+    explicit SlowStartTracker(Micros boot) : boot_(boot) {}
 
     // When the host's slow start began, on our clock; 0: long past. Called with every entry of a
     // list.
--- a/tests/decisions/rules_test.cpp
+++ b/tests/decisions/attempt_rules_test.cpp
@@ -1,5 +1,5 @@
 // The rules of a request: each reason for which an attempt may not begin, or not go out any more.
-#include "decisions/rules.h"
+#include "decisions/attempt_rules.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/decisions/decision_engine_test.cpp
+++ b/tests/decisions/decision_engine_test.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <random>
 
-#include "peer_message.h"
+#include "decisions/quota/lease_codec.h"
 #include "silverreach/interface.h"
 
 using namespace silverreach;
--- a/tests/decisions/lease_codec_test.cpp
+++ b/tests/decisions/quota/lease_codec_test.cpp
@@ -2,7 +2,7 @@
 
 #include <random>
 
-#include "peer_message.h"
+#include "decisions/quota/lease_codec.h"
 
 using namespace silverreach;
 
--- a/tests/decisions/host_starts_test.cpp
+++ b/tests/decisions/slow_start_tracker_test.cpp
@@ -1,5 +1,5 @@
 // When a slow start began, by our clock and by what was told.
-#include "decisions/host_starts.h"
+#include "decisions/slow_start_tracker.h"
 
 #include <gtest/gtest.h>
 
@@ -16,16 +16,16 @@
 }
 }  // namespace
 
-TEST(HostStarts, WhatWasThereFirstIsAsOldAsTheWallClockSays) {
-    HostStarts starts(boot);
+TEST(SlowStartTracker, WhatWasThereFirstIsAsOldAsTheWallClockSays) {
+    SlowStartTracker starts(boot);
     EXPECT_EQ(starts.began(told("a", 0us), boot), 0us);
     EXPECT_EQ(starts.began(told("b", boot - 10min), boot), boot - 10min);
     EXPECT_EQ(starts.began(told("c", boot + 1h), boot + 5ms), boot + 5ms) << "ahead of our clock";
 }
 
-TEST(HostStarts, WhatAppearsLaterHasStartedNowWhateverClocksSay) {
+TEST(SlowStartTracker, WhatAppearsLaterHasStartedNowWhateverClocksSay) {
     for (const Micros off : {Micros(-1h), Micros(0), Micros(1h)}) {
-        HostStarts starts(boot);
+        SlowStartTracker starts(boot);
         starts.began(told("a", 0us), boot);
         const Micros now = boot + 5s;
         EXPECT_EQ(starts.began(told("b", now + off), now), now);
@@ -34,16 +34,16 @@
     }
 }
 
-TEST(HostStarts, AChangedStartTimeIsAStart) {
-    HostStarts starts(boot);
+TEST(SlowStartTracker, AChangedStartTimeIsAStart) {
+    SlowStartTracker starts(boot);
     starts.began(told("a", 0us), boot);
     starts.began(told("b", boot - 1h), boot);
     EXPECT_EQ(starts.began(told("a", boot - 2h), boot + 100ms), boot + 100ms);
     EXPECT_EQ(starts.began(told("b", boot - 2h), boot + 8s), boot + 8s);
 }
 
-TEST(HostStarts, AHostThatWasOnlyOutOfTheListIsKnownAgainForAWhile) {
-    HostStarts starts(boot);
+TEST(SlowStartTracker, AHostThatWasOnlyOutOfTheListIsKnownAgainForAWhile) {
+    SlowStartTracker starts(boot);
     const Micros seen = boot + 5s;
     starts.began(told("a", seen), seen);
     starts.forget_old(seen + 599s);
