--- a/fakes/client.cpp
+++ b/fakes/client.cpp
@@ -27,7 +27,7 @@
         parser.answer_to_head(now.flow.method == "HEAD");
         stream.write(bytes);
         clients.loop_.after(now.flow.deadline + patience_after,
-                            [this, at = turn, alive = std::weak_ptr<bool>(alive_)] {
+                            [this, at = turn, alive = std::weak_ptr<bool>(alive)] {
                                 if (!alive.expired() && at == turn && busy) end("gave_up", false);
                             });
     }
@@ -94,7 +94,7 @@
     int status = 0;
     std::uint64_t turn = 0;
     bool busy = false, keep = true, head_seen = false;
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+    std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
 Clients::Clients(event::Loop& loop, std::uint64_t seed, Recorder& records,
--- a/fakes/host.cpp
+++ b/fakes/host.cpp
@@ -4,6 +4,7 @@
 #include <sys/time.h>
 
 #include <cmath>
+#include <utility>
 
 namespace silverreach::fakes {
 namespace {
@@ -23,10 +24,10 @@
     return static_cast<std::int64_t>(t.tv_sec) * 1000 + t.tv_usec / 1000;
 }
 
-Host::Host(event::Loop& loop, const HostSettings& settings, std::uint64_t seed, Recorder& records,
+Host::Host(event::Loop& loop, HostSettings settings, std::uint64_t seed, Recorder& records,
            std::shared_ptr<Group> group, std::function<std::string(const std::string&)> plan_of)
     : loop_(loop),
-      s_(settings),
+      s_(std::move(settings)),
       random_(seed),
       records_(records),
       group_(std::move(group)),
--- a/fakes/host.h
+++ b/fakes/host.h
@@ -35,7 +35,7 @@
   public:
     // `plan_of` tells the plan of an account's key, for refusals of one plan. All references must
     // outlive the host.
-    Host(event::Loop& loop, const HostSettings& settings, std::uint64_t seed, Recorder& records,
+    Host(event::Loop& loop, HostSettings settings, std::uint64_t seed, Recorder& records,
          std::shared_ptr<Group> group, std::function<std::string(const std::string&)> plan_of);
     ~Host();
 
--- a/fakes/relay.cpp
+++ b/fakes/relay.cpp
@@ -71,7 +71,8 @@
         if (n < 0) return;
         const double draw = static_cast<double>(random_() >> 11) * 0x1p-53;
         bytes_ += static_cast<std::uint64_t>(n);
-        if (draw < loss_ || cut_.count(from) || cut_.count(to) || (parted_ && from % 2 != to % 2)) {
+        if (draw < loss_ || cut_.contains(from) || cut_.contains(to) ||
+            (parted_ && from % 2 != to % 2)) {
             ++lost_;
             continue;
         }
--- a/fakes/server.cpp
+++ b/fakes/server.cpp
@@ -47,7 +47,7 @@
     : loop_(loop), handler_(std::move(handler)), gone_(loop) {
     listener_ = std::make_unique<event::Listener>(
         loop, ip, port, ip.find(':') != std::string::npos, [] { return true; },
-        [this](event::Fd fd, std::string) {
+        [this](event::Fd fd, const std::string&) {
             const Token token = next_++;
             connections_.emplace(token, std::make_unique<Connection>(*this, token, std::move(fd)));
         });
--- a/scenario_runner/commands.cpp
+++ b/scenario_runner/commands.cpp
@@ -1,9 +1,9 @@
 #include <fmt/format.h>
-#include <signal.h>
-#include <stdlib.h>
 #include <sys/stat.h>
 
 #include <CLI/CLI.hpp>
+#include <csignal>
+#include <cstdlib>
 #include <filesystem>
 #include <fstream>
 #include <iostream>
--- a/scenario_runner/drill.cpp
+++ b/scenario_runner/drill.cpp
@@ -2,12 +2,13 @@
 
 #include <fmt/format.h>
 #include <google/protobuf/text_format.h>
-#include <signal.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <fstream>
 #include <sstream>
 #include <stdexcept>
+#include <utility>
 
 #include "config/config.h"
 #include "fakes/relay.h"
@@ -27,11 +28,11 @@
 }
 class Day {
   public:
-    Day(const Scenario& s, const std::string& program, const std::string& folder,
-        const std::string& work, const std::function<void(const std::string&)>& progress)
+    Day(const Scenario& s, std::string program, std::string folder, const std::string& work,
+        const std::function<void(const std::string&)>& progress)
         : s_(s),
-          program_(program),
-          folder_(folder),
+          program_(std::move(program)),
+          folder_(std::move(folder)),
           work_(work),
           progress_(progress),
           records_(work + "/records.jsonl"),
--- a/scenario_runner/fleet/measure.cpp
+++ b/scenario_runner/fleet/measure.cpp
@@ -140,7 +140,7 @@
     std::vector<std::string> broken;
     if (row.open > 0) broken.push_back(fmt::format("{} tries without an end", row.open));
     if (row.tries == 0 || row.served == 0)
-        broken.push_back("nothing was served: the day proves nothing");
+        broken.emplace_back("nothing was served: the day proves nothing");
     if (day.least_served > 0 && row.worst_served < day.least_served)
         broken.push_back(fmt::format("served {:.3f} in the worst 5 s, bound {:.3f}",
                                      row.worst_served, day.least_served));
--- a/scenario_runner/fleet/socket_fleet.cpp
+++ b/scenario_runner/fleet/socket_fleet.cpp
@@ -2,11 +2,12 @@
 
 #include <fmt/format.h>
 #include <google/protobuf/text_format.h>
-#include <signal.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <map>
 #include <memory>
+#include <utility>
 
 #include "config/config.h"
 #include "fakes/client.h"
@@ -30,8 +31,8 @@
 
 class SocketDay {
   public:
-    SocketDay(const FleetDay& day, const std::string& program, const std::string& work)
-        : day_(day), work_(work), arrivals_(day) {
+    SocketDay(const FleetDay& day, const std::string& program, std::string work)
+        : day_(day), work_(std::move(work)), arrivals_(day) {
         if (day.instances > 100)
             throw std::runtime_error(day.name + ": sockets carry 100 instances; use --virtual");
         fakes::HostSettings host;
@@ -91,7 +92,7 @@
                 hosts.empty() ? "" : ",", at.substr(0, colon), at.substr(colon + 1));
         }
         write_text(work_ + "/hosts",
-                   "{\"clusterName\":\"hosts\",\"endpoints\":[{\"lbEndpoints\":[" + hosts + "]}]}");
+                   R"({"clusterName":"hosts","endpoints":[{"lbEndpoints":[)" + hosts + "]}]}");
         const auto own = peer_addresses(day_.instances);
         if (day_.instances > 1) {
             relay_ = std::make_unique<fakes::Relay>(loop_, own, day_.seed);
--- a/scenario_runner/gateway_process.cpp
+++ b/scenario_runner/gateway_process.cpp
@@ -2,18 +2,16 @@
 
 #include <fcntl.h>
 #include <fmt/format.h>
-#include <signal.h>
 #include <spawn.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <cstdlib>
 #include <fstream>
 #include <stdexcept>
 
-extern char** environ;
-
 namespace silverreach::scenario {
 namespace {
 double seconds(const timeval& t) {
@@ -33,6 +31,7 @@
     constexpr int peer_port = 7946;
     const int net = 64 + getpid() % 128, part = getpid() / 128 % 250;
     std::vector<std::pair<std::string, int>> own;
+    own.reserve(gateways);
     for (int i = 0; i < gateways; ++i)
         own.emplace_back(fmt::format("127.{}.{}.{}", net, part, i + 1), peer_port);
     return own;
@@ -75,7 +74,7 @@
     if (pid_ > 0 && waitpid(pid_, nullptr, WNOHANG) == pid_) pid_ = 0;
     return pid_ > 0;
 }
-void GatewayProcess::signal(int number) {
+void GatewayProcess::signal(int number) const {
     if (pid_ > 0) ::kill(pid_, number);
 }
 void GatewayProcess::stop(int number) {
--- a/scenario_runner/gateway_process.h
+++ b/scenario_runner/gateway_process.h
@@ -31,7 +31,7 @@
     void start();  // throws std::runtime_error where it cannot be
     int port();    // that it listens on, as its standard output tells; 0: not yet
     bool running();
-    void signal(int number);
+    void signal(int number) const;
     void stop(int number);                   // and waits for its end
     double cpu_s() const { return cpu_s_; }  // of all its ended lives
 
--- a/scenario_runner/judge.cpp
+++ b/scenario_runner/judge.cpp
@@ -152,7 +152,8 @@
         for (const auto& [id, t] : tries_) {
             if (!t.sent || str(*t.sent, "effect") != "unsafe") continue;
             looked(rule);
-            const bool refused = !t.ends.empty() && refusals.count(str(*t.ends.front(), "reason"));
+            const bool refused =
+                !t.ends.empty() && refusals.contains(str(*t.ends.front(), "reason"));
             for (const json* r : t.received)
                 if (refused && r->value("taken", false))
                     broken(rule,
--- a/scenario_runner/reader.h
+++ b/scenario_runner/reader.h
@@ -20,7 +20,7 @@
     }
     ~Reader() {
         for (const auto& [name, v] : value_.members)
-            if (!known_.count(name)) problem(v, name, "a known name");
+            if (!known_.contains(name)) problem(v, name, "a known name");
     }
     const openapi::Value* find(const std::string& name) {
         known_.insert(name);
@@ -45,7 +45,7 @@
     }
     template <typename Whole>
     void read_whole(const std::string& name, Whole& into, double least = 0) {
-        double number = static_cast<double>(into);
+        auto number = static_cast<double>(into);
         read(name, number, least);
         into = static_cast<Whole>(number);
     }
--- a/src/accounts/registry.cpp
+++ b/src/accounts/registry.cpp
@@ -56,28 +56,28 @@
     const auto fresh_id = [&](const std::string& id) -> std::string {
         if (!sound_id(id))
             return "key id '" + id + "' is not of " + std::to_string(id_length) + " letters";
-        return keys_.count(id) ? "key " + id + " exists already" : "";
+        return keys_.contains(id) ? "key " + id + " exists already" : "";
     };
     if (const auto* d = std::get_if<AddPlan>(&deed)) {
         if (!sound_name(d->plan))
             return "a plan's name is 1 to 200 printable characters without spaces";
-        return plans_.count(d->plan) ? "plan " + d->plan + " exists already" : "";
+        return plans_.contains(d->plan) ? "plan " + d->plan + " exists already" : "";
     }
     if (const auto* d = std::get_if<RemovePlan>(&deed)) {
-        if (!plans_.count(d->plan)) return "no plan " + d->plan;
+        if (!plans_.contains(d->plan)) return "no plan " + d->plan;
         const bool used = std::any_of(accounts_.begin(), accounts_.end(),
                                       [&](const auto& a) { return a.second.plan == d->plan; });
         if (!used && d->successor.empty()) return "";
         if (d->successor.empty())
             return "plan " + d->plan + " is in use: name the plan that its accounts go over to";
-        return d->successor == d->plan || !plans_.count(d->successor)
+        return d->successor == d->plan || !plans_.contains(d->successor)
                    ? "no plan " + d->successor + " to go over to"
                    : "";
     }
     if (const auto* d = std::get_if<PutAccount>(&deed)) {
         if (!sound_name(d->account))
             return "an account's name is 1 to 200 printable characters without spaces";
-        if (!plans_.count(d->plan)) return "no plan " + d->plan;
+        if (!plans_.contains(d->plan)) return "no plan " + d->plan;
         const Account* a = account(d->account);
         return a && !a->merged_into.empty()
                    ? "account " + d->account + " is merged into " + a->merged_into
--- a/src/cli/files.cpp
+++ b/src/cli/files.cpp
@@ -1,9 +1,10 @@
 #include "cli/files.h"
 
-#include <errno.h>
 #include <fcntl.h>
 #include <unistd.h>
 
+#include <cerrno>
+
 namespace silverreach::cli {
 namespace {
 int open_to_read(const std::string& path) {
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -25,7 +25,7 @@
     // `folder`: what relative names in the configuration start from. Throws std::runtime_error with
     // a plain message where a socket, file or the description is not to be had.
     Instance(event::Loop& loop, const config::Config& config, std::string folder, log::Log& log);
-    ~Instance();
+    ~Instance() override;
 
     int port() const { return front_->port(); }
     // Reads the description again, beside the traffic; a bad one is logged with all its errors and
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -79,7 +79,7 @@
                     {"open_us", std::int64_t{close.open_for.count()}}});
     });
     discovery::Watch::Hooks hooks;
-    hooks.changed = [this](platform::TargetList list) { hosts_changed(list); };
+    hooks.changed = [this](const platform::TargetList& list) { hosts_changed(list); };
     hooks.lost = [this](const std::string& why) {
         log_.write(log::Level::warning, "discovery_lost", {{"why", why}});
     };
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -23,7 +23,7 @@
   public:
     // Throws std::runtime_error with a plain message where a socket is not to be had.
     Node(event::Loop& loop, platform::NodeConfig config, log::Log& log);
-    ~Node();
+    ~Node() override;
 
     int port() const { return front_->port(); }
     // A new configuration: its discovery is followed from now on. What else differs waits for a
--- a/src/cli/node_program.cpp
+++ b/src/cli/node_program.cpp
@@ -1,10 +1,10 @@
 #include "cli/node_program.h"
 
 #include <malloc.h>
-#include <signal.h>
-#include <stdlib.h>
 
 #include <algorithm>
+#include <csignal>
+#include <cstdlib>
 #include <iostream>
 #include <stdexcept>
 #include <string_view>
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -125,7 +125,7 @@
     }
     if (names.empty())
         c.problem(c.root(), config, "class", -1, "class", "one class of requests at least");
-    if (config.api().has_unpriced() && !names.count(config.api().unpriced().class_())) {
+    if (config.api().has_unpriced() && !names.contains(config.api().unpriced().class_())) {
         auto* api = Checker::nested(c.root(), config, "api", -1);
         c.problem(Checker::nested(api, config.api(), "unpriced", -1), config.api().unpriced(),
                   "class", -1, "api.unpriced.class",
@@ -158,7 +158,7 @@
     if (config.has_registry() && config.account_size() > 0)
         c.problem(c.root(), config, "account", 0, "account", "either accounts here or a registry");
     c.at_least<std::int64_t>(c.root(), config, "clock_skew_ms", "", config.clock_skew_ms(), 0);
-    if (config.api().has_anonymous_plan() && !names.count(config.api().anonymous_plan()))
+    if (config.api().has_anonymous_plan() && !names.contains(config.api().anonymous_plan()))
         c.problem(Checker::nested(c.root(), config, "api", -1), config.api(), "anonymous_plan", -1,
                   "api.anonymous_plan", fmt::format("one of {}", fmt::join(names, ", ")));
     for (int i = 0; i < config.account_size(); ++i) {
@@ -167,7 +167,7 @@
         const std::string path = fmt::format("account[{}].", i);
         if (a.name().empty() || !accounts.insert(a.name()).second)
             c.problem(tree, a, "name", -1, path + "name", "a name that no other account has");
-        if (!names.count(a.plan()))
+        if (!names.contains(a.plan()))
             c.problem(tree, a, "plan", -1, path + "plan",
                       fmt::format("one of {}", fmt::join(names, ", ")));
         for (int k = 0; k < a.key_size(); ++k)
--- a/src/discovery/endpoints.cpp
+++ b/src/discovery/endpoints.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <set>
+#include <utility>
 
 namespace silverreach::discovery {
 namespace {
@@ -18,7 +19,7 @@
     return nullptr;
 }
 std::string text_or(const json* value, std::string fallback = "") {
-    return value && value->is_string() ? value->get<std::string>() : fallback;
+    return value && value->is_string() ? value->get<std::string>() : std::move(fallback);
 }
 
 struct Reader {
--- a/src/log/descriptor_writer.cpp
+++ b/src/log/descriptor_writer.cpp
@@ -1,14 +1,14 @@
 #include "log/descriptor_writer.h"
 
-#include <errno.h>
 #include <fcntl.h>
-#include <limits.h>
 #include <poll.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <cerrno>
+#include <climits>
 #include <utility>
 
 namespace silverreach::log {
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -1,12 +1,12 @@
 #include "log/log.h"
 
-#include <errno.h>
 #include <fcntl.h>
 #include <spdlog/details/null_mutex.h>
 #include <spdlog/sinks/base_sink.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
 
+#include <cerrno>
 #include <cstring>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
--- a/src/openapi/description.cpp
+++ b/src/openapi/description.cpp
@@ -159,7 +159,7 @@
                     bases.push_back(base);
             }
         }
-        if (bases.empty()) bases.push_back("");  // an empty list counts as [{url: /}]
+        if (bases.empty()) bases.emplace_back("");  // an empty list counts as [{url: /}]
         return bases;
     }
     static void strip_authority(std::string& url) {
@@ -195,7 +195,7 @@
             if (values.empty()) {
                 problem(server, fmt::format("{}[].variables.{}", field, name),
                         "a default or an enum");
-                values.push_back("x");
+                values.emplace_back("x");
             }
             std::vector<std::string> next;
             for (const std::string& base : urls)
@@ -214,7 +214,7 @@
             urls = std::move(next);
             from = 0;
             if (std::any_of(values.begin(), values.end(),
-                            [](const std::string& v) { return v.find('{') != v.npos; }))
+                            [](const std::string& v) { return v.find('{') != std::string::npos; }))
                 return problem(server, fmt::format("{}[].variables.{}", field, name),
                                "values without braces"),
                        urls;
@@ -356,7 +356,7 @@
             Parameters parameters = shared;
             read_parameters(*operation, parameters, field);
             for (const std::string& name : names)
-                if (!parameters.count({"path", name}))
+                if (!parameters.contains({"path", name}))
                     problem(*operation, field,
                             fmt::format("a path parameter '{}' among its parameters", name));
             read_operation(static_cast<Method>(i), path, *item, *operation, parameters,
@@ -448,7 +448,7 @@
         route.request_class = found.value->text, route.class_origin = origin(found);
         if (!found.value->is(Kind::scalar) || route.request_class.empty())
             problem(*found.value, field + " x-silverreach-class", "a class name");
-        else if (!policy_.classes.empty() && !policy_.classes.count(route.request_class))
+        else if (!policy_.classes.empty() && !policy_.classes.contains(route.request_class))
             problem(*found.value, field + " x-silverreach-class",
                     fmt::format("one of {}, not '{}'", fmt::join(policy_.classes, ", "),
                                 route.request_class));
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -1,12 +1,12 @@
 #include "peers/peers.h"
 
 #include <arpa/inet.h>
-#include <errno.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
 #include <xxhash.h>
 
 #include <array>
+#include <cerrno>
 #include <cstring>
 #include <stdexcept>
 
--- a/src/peers/plain.cpp
+++ b/src/peers/plain.cpp
@@ -1,10 +1,10 @@
 #include "peers/plain.h"
 
 #include <arpa/inet.h>
-#include <errno.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
 
+#include <cerrno>
 #include <cstring>
 #include <stdexcept>
 
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -35,7 +35,7 @@
 }
 
 void read_limits(json::object o, NodeLimits& limits) {
-    double memory = static_cast<double>(limits.memory_mb);
+    auto memory = static_cast<double>(limits.memory_mb);
     json::read(o, "memory_mb", memory);
     json::read(o, "sockets", limits.sockets);
     limits.memory_mb = static_cast<std::int64_t>(memory);
--- a/src/registry/store.cpp
+++ b/src/registry/store.cpp
@@ -1,12 +1,12 @@
 #include "registry/store.h"
 
-#include <errno.h>
 #include <fcntl.h>
 #include <sodium.h>
 #include <sys/file.h>
 #include <sys/stat.h>
 #include <unistd.h>
 
+#include <cerrno>
 #include <cstring>
 #include <stdexcept>
 
--- a/tests/accounts/accounts_test.cpp
+++ b/tests/accounts/accounts_test.cpp
@@ -1,10 +1,10 @@
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <sodium.h>
-#include <stdlib.h>
 #include <sys/resource.h>
 
 #include <algorithm>
+#include <cstdlib>
 
 #include "accounts/journal.h"
 #include "registry/store.h"
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -19,6 +19,7 @@
     const auto config = parse(text, "g.textproto", problems);
     EXPECT_EQ(config == nullptr, !problems.empty());
     std::vector<std::string> out;
+    out.reserve(problems.size());
     for (const Problem& p : problems)
         out.push_back(openapi::to_string(p));
     return out;
--- a/tests/faults/log_test.cpp
+++ b/tests/faults/log_test.cpp
@@ -14,14 +14,14 @@
         EXPECT_EQ(::pipe2(ends, O_CLOEXEC), 0);
         out = event::Fd(ends[0]), in = event::Fd(ends[1]);
     }
-    void fill() {
+    void fill() const {
         ::fcntl(in.get(), F_SETFL, O_NONBLOCK);
         const std::string page(4096, '.');
         while (::write(in.get(), page.data(), page.size()) > 0) {
         }
         ::fcntl(in.get(), F_SETFL, 0);
     }
-    std::string take() {
+    std::string take() const {
         ::fcntl(out.get(), F_SETFL, O_NONBLOCK);
         std::string got;
         char buffer[65536];
--- a/tests/faults/rig.h
+++ b/tests/faults/rig.h
@@ -35,7 +35,8 @@
 
 class FaultNode : public test_support::OnLoop {
   public:
-    explicit FaultNode(int host_count = 1, std::function<std::string(std::string)> adapt = {},
+    explicit FaultNode(int host_count = 1,
+                       const std::function<std::string(std::string)>& adapt = {},
                        const std::string& more_targets = "") {
         ::signal(SIGPIPE, SIG_IGN);
         std::string targets;
@@ -74,7 +75,7 @@
         return c->got;
     }
     bool serves(std::uint64_t id) { return talk(query(id), 10) == bulk("for " + hex(id)); }
-    bool runs() { return !process->ended(); }
+    bool runs() const { return !process->ended(); }
 
     std::vector<std::unique_ptr<Host>> hosts;
     std::unique_ptr<Discovery> discovery;
--- a/tests/faults/start_test.cpp
+++ b/tests/faults/start_test.cpp
@@ -13,7 +13,7 @@
     };
     config = replaced(std::move(config), "\"peers\":false", "\"peers\":true");
     return replaced(std::move(config), "\"seed\":",
-                    "\"peer_listen\":\"" + own + "\",\"peers\":[\"" + own + "\"," + other() + "," +
+                    R"("peer_listen":")" + own + R"(","peers":[")" + own + "\"," + other() + "," +
                         other() + "],\"seed\":");
 }
 }  // namespace
--- a/tests/node/rig.h
+++ b/tests/node/rig.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include <gtest/gtest.h>
-#include <signal.h>
 
+#include <csignal>
 #include <functional>
 #include <memory>
 #include <string>
@@ -43,7 +43,7 @@
           data(std::move(on_data)),
           listener(
               l, "127.0.0.1", 0, false, [] { return true; },
-              [this](event::Fd fd, std::string) {
+              [this](event::Fd fd, const std::string&) {
                   peers.push_back(std::make_unique<Peer>(*this, std::move(fd)));
               }) {}
     std::string address() const { return "127.0.0.1:" + std::to_string(listener.port()); }
@@ -110,7 +110,7 @@
             if (!p.over) answer(p);
         });
     }
-    void answer(Peer& p) {
+    void answer(Peer& p) const {
         p.stream.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         if (!first.empty()) say(p, first + "\n");
     }
--- a/tests/openapi/openapi_test.cpp
+++ b/tests/openapi/openapi_test.cpp
@@ -23,7 +23,7 @@
         return false;
     }
 };
-Loaded read(const std::string& text, Policy policy = {}) {
+Loaded read(const std::string& text, const Policy& policy = {}) {
     Loaded l;
     l.description = load(text, "api.yaml", policy, l.problems);
     for (const Problem& p : l.problems)
--- a/tests/scenario_runner/judge_test.cpp
+++ b/tests/scenario_runner/judge_test.cpp
@@ -18,7 +18,7 @@
     t.ceilings["coast"] = {10, 10};
     return t;
 }
-json client(long t, const char* what, const std::string& id, json more = {}) {
+json client(long t, const char* what, const std::string& id, const json& more = {}) {
     json r = {{"t", t}, {"who", "client"}, {"what", what}, {"id", id}, {"gateway", 0}};
     if (more.is_object()) r.update(more);
     return r;
@@ -35,7 +35,7 @@
 json answer(long t, const std::string& id, const std::string& reason = "", int status = 200) {
     return client(t, "answer", id, {{"status", status}, {"reason", reason}, {"head_seen", true}});
 }
-json host(long t, const char* what, const std::string& id, json more = {}) {
+json host(long t, const char* what, const std::string& id, const json& more = {}) {
     json r = {{"t", t},           {"who", "host"},     {"what", what}, {"id", id},
               {"op", "op-" + id}, {"host", "h1"},      {"gateway", 0}, {"attempt", 0},
               {"units", 1.0},     {"work_us", 10'000}, {"taken", true}};
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -2,8 +2,7 @@
 // overlapping troubles, judged by the promises. Prints the troubles and every breach; exit code 1
 // where there is one. SOAK_LOGS names a folder that gets the gateways' logs where there was a
 // breach; with SILVERREACH_LOG=debug they tell of every request.
-#include <signal.h>
-
+#include <csignal>
 #include <cstdio>
 #include <cstdlib>
 
--- a/tests/soak/troubles.cpp
+++ b/tests/soak/troubles.cpp
@@ -1,10 +1,10 @@
 // The troubles of a soak day. Several run at a time: each is begun at its moment and undone by
 // itself.
 #include <fmt/format.h>
-#include <signal.h>
 
 #include <algorithm>
 #include <array>
+#include <csignal>
 
 #include "tests/soak/world.h"
 
@@ -190,7 +190,8 @@
     }
     void drain_host() {
         const int number = world_.below(world_.size.hosts);
-        if (world_.draining.size() + world_.gone.size() >= 2 || world_.gone.count(number)) return;
+        if (world_.draining.size() + world_.gone.size() >= 2 || world_.gone.contains(number))
+            return;
         if (!world_.draining.insert(number).second) return;
         told(fmt::format("s-{} drains", number));
         world_.list_changed();
--- a/tests/soak/world.cpp
+++ b/tests/soak/world.cpp
@@ -81,7 +81,7 @@
     for (int g = 0; g < world.size.gateways; ++g)
         listeners_.push_back(std::make_unique<event::Listener>(
             world.loop, "127.0.0.1", 0, false, [] { return true; },
-            [this, g](event::Fd fd, std::string) { accepted(std::move(fd), g); }));
+            [this, g](event::Fd fd, const std::string&) { accepted(std::move(fd), g); }));
 }
 Host::~Host() = default;
 std::string Host::uid() const {
@@ -198,7 +198,7 @@
 Directory::Directory(World& world, int gateway) : world_(world), gateway_(gateway) {
     listener_ = std::make_unique<event::Listener>(
         world.loop, "127.0.0.1", 0, false, [] { return true; },
-        [this](event::Fd fd, std::string) { accepted(std::move(fd)); });
+        [this](event::Fd fd, const std::string&) { accepted(std::move(fd)); });
     beat();
 }
 Directory::~Directory() = default;
@@ -239,7 +239,7 @@
     watcher.say(list);
     for (const auto& host : world_.hosts) {
         const int number = static_cast<int>(&host - world_.hosts.data());
-        if (world_.draining.count(number) || world_.gone.count(number))
+        if (world_.draining.contains(number) || world_.gone.contains(number))
             world_.ledger.told_drained(world_.now(), gateway.name, host->uid());
         else
             world_.ledger.told_ready(gateway.name, host->uid());
@@ -341,7 +341,7 @@
         std::vector<std::string> words{
             effect == Effect::safe ? "SVC.QUERY" : "SVC.SUBMIT",
             hex(capped ? 7 : 100 + static_cast<std::uint64_t>(world_.below(40))), hex(id), list};
-        if (effect != Effect::safe) words.push_back("SHEET");
+        if (effect != Effect::safe) words.emplace_back("SHEET");
         const std::string bytes = command(words);
         world_.ledger.sent(world_.now(), id, effect, std::chrono::milliseconds(d), capped);
         open_.push_back({id, world_.now(), bytes});
@@ -443,12 +443,12 @@
 std::string World::targets(int gateway) const {
     std::string out;
     for (std::size_t h = 0; h < hosts.size(); ++h) {
-        if (gone.count(static_cast<int>(h))) continue;
+        if (gone.contains(static_cast<int>(h))) continue;
         const Host& host = *hosts[h];
         out += std::string(out.empty() ? "" : ",") + R"({"uid":")" + host.uid() +
                R"(","endpoint":"127.0.0.1:)" + std::to_string(host.port(gateway)) +
                R"(","az":"a","model":"m","pod_group":)" + std::to_string(host.cell()) +
-               R"(,"state":")" + (draining.count(static_cast<int>(h)) ? "draining" : "ready") +
+               R"(,"state":")" + (draining.contains(static_cast<int>(h)) ? "draining" : "ready") +
                R"(","capacity_hint":1,"boot_ms":)" + std::to_string(host.boot_ms) + "}";
     }
     return out;
--- a/tests/soak/world.h
+++ b/tests/soak/world.h
@@ -107,7 +107,7 @@
     bool expected_down = false, ready = false, full_log = false;
     Micros started{0}, terminated{0};
     int starts = 0;
-    Directory& followed() { return moved ? *other : *directory; }
+    Directory& followed() const { return moved ? *other : *directory; }
 };
 
 class World {
--- a/tests/support/faults.h
+++ b/tests/support/faults.h
@@ -3,16 +3,16 @@
 // file.
 #pragma once
 
-#include <errno.h>
 #include <fcntl.h>
-#include <stdlib.h>
 #include <sys/mman.h>
-#include <time.h>
 #include <unistd.h>
 
 #include <atomic>
+#include <cerrno>
 #include <chrono>
 #include <cstdint>
+#include <cstdlib>
+#include <ctime>
 #include <stdexcept>
 #include <string>
 
--- a/tests/support/node_process.h
+++ b/tests/support/node_process.h
@@ -4,11 +4,11 @@
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
-#include <signal.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <fstream>
 #include <optional>
 #include <set>
@@ -71,10 +71,10 @@
     NodeProcess(const NodeProcess&) = delete;
     NodeProcess& operator=(const NodeProcess&) = delete;
 
-    void configure(const std::string& config) {
+    void configure(const std::string& config) const {
         write_file(replaced(config, "127.0.0.1:0", own_address() + ":" + std::to_string(port_)));
     }
-    void write_file(const std::string& text) {
+    void write_file(const std::string& text) const {
         std::ofstream(config_file(), std::ios::trunc) << text;
     }
     std::string config_file() const { return folder_ + "/config.json"; }
