--- a/src/decisions/quota/quota_manager.h
+++ b/src/decisions/quota/quota_manager.h
@@ -8,25 +8,26 @@
 #include <cstdint>
 #include <optional>
 #include <string>
+#include <unordered_map>
 
 #include "decisions/decision_context.h"
 #include "decisions/quota/customer_quota.h"
+#include "decisions/quota/lease_client.h"
+#include "decisions/quota/lease_ledger.h"
+#include "decisions/quota/lease_terms.h"
+#include "decisions/quota/peer_mailbox.h"
 #include "decisions/quota/quota_listener.h"
 
 namespace silverreach {
 
-// What a request took from its customer's stores and has not used yet, in units.
-struct Reservation {
-    double units = 0;          // of the rate quota
-    double ceiling_units = 0;  // of the ceiling
-};
-
 // Owned by the engine; single-threaded like it. References to a CustomerQuota stay good while the
 // customer has open requests.
 class QuotaManager {
   public:
     // `context` and `listener` outlive this. `first_nonce`: nonce of the first lease request, odd.
     QuotaManager(DecisionContext& context, QuotaListener& listener, std::uint32_t first_nonce);
+    QuotaManager(const QuotaManager&) = delete;  // its parts refer to each other
+    QuotaManager& operator=(const QuotaManager&) = delete;
 
     // Notes a new request and its demand; ++open_requests. The caller counts it down again once
     // the request has its final response.
@@ -65,6 +66,14 @@
     void remove_idle();
     // Sends what this event posted to peers. Call at the end of each event.
     void flush_outboxes();
+
+  private:
+    DecisionContext& context_;
+    LeaseTerms terms_;
+    LeaseLedger ledger_;
+    PeerMailbox mailbox_;
+    LeaseClient client_;
+    std::unordered_map<std::string, CustomerQuota> customers_;  // by name
 };
 
 }  // namespace silverreach
