--- a/src/decisions/quota/customer_quota.cpp
+++ b/src/decisions/quota/customer_quota.cpp
@@ -106,7 +106,8 @@
 }
 
 void CustomerQuota::correct_units(double charged_units, double actual_units) {
-    units_ += charged_units - actual_units;
+    if (actual_units > 0 && context_.settings.units_corrected_by_response)
+        units_ += charged_units - actual_units;
 }
 
 std::optional<Micros> CustomerQuota::known_shortage(double units) const {
--- a/src/decisions/quota/customer_quota.h
+++ b/src/decisions/quota/customer_quota.h
@@ -57,6 +57,8 @@
     void on_attempt_sent(Reservation& reservation, double units, bool first_attempt);
     // Gives back what a request that was never sent had reserved.
     void release(const Reservation& reservation);
+    // A response reported the units that its request really cost. Changes nothing where
+    // `actual_units` is 0 (not reported) or the settings leave it out.
     void correct_units(double charged_units, double actual_units);
     // Retry-After where the owner reported so recently that no lease will come for `units` that
     // requesting one is of no use; else nothing.
--- a/src/decisions/quota/lease_codec.cpp
+++ b/src/decisions/quota/lease_codec.cpp
@@ -5,123 +5,165 @@
 
 namespace silverreach {
 namespace {
-constexpr std::uint32_t format_mark = 0xA9, ask_mark = 1, given_mark = 2;
-constexpr std::size_t check_bytes = 2, ask_bytes = 26, given_bytes = 17;
-constexpr double sixteenths = 1 / lease_unit_step, parts = 1 / standing_share_step;
-static_assert(1 + max_messages_per_datagram * ask_bytes + check_bytes <= max_message_bytes);
-
-void put(std::string& out, std::uint32_t value, int bytes) {
-    for (int i = 0; i < bytes; ++i)
-        out.push_back(static_cast<char>((value >> (8 * i)) & 0xFF));
-}
-// 12 bits, to be shifted left by the other 4.
-void put_units(std::string& out, double units, bool up) {
-    double scaled = std::clamp(units * sixteenths, 0.0, 4095.0 * 32768);
-    std::uint32_t shift = 0;
-    for (; scaled > 4095; scaled /= 2)
-        ++shift;
-    put(out, shift << 12 | static_cast<std::uint32_t>(up ? std::ceil(scaled) : scaled), 2);
-}
-void put_part(std::string& out, double part) {
-    put(out, static_cast<std::uint32_t>(std::lround(std::clamp(part, 0.0, 1.0) * parts)), 2);
-}
-void put_message(std::string& out, const LeaseRequest& ask) {
-    put(out, ask_mark, 1);
-    put(out, ask.nonce, 4);
-    put(out, ask.customer_hash, 4);
-    put(out, static_cast<std::uint32_t>(ask.plan), 1);
-    put(out, static_cast<std::uint32_t>(ask.subset_size), 2);
-    put(out, static_cast<std::uint32_t>(ask.subset_start), 2);
-    for (const double units :
-         {ask.required_units, ask.extra_units, ask.ceiling_units, ask.demand_rate})
-        put_units(out, units, true);
-    put_units(out, ask.returned_units, false);
-    put_part(out, ask.standing_share);
-}
-void put_message(std::string& out, const LeaseGrant& given) {
-    put(out, given_mark, 1);
-    put(out, given.nonce, 4);
-    put_units(out, given.units, false);
-    put_units(out, given.ceiling_units, false);
-    put(out, std::min<std::uint32_t>(given.wait_ms, 65535), 2);
-    put_units(out, given.demand_rate, false);
-    put_part(out, given.standing_share);
-    put(out, static_cast<std::uint32_t>(given.holder_count), 2);
-}
 
-std::uint32_t take(std::string_view& in, int bytes) {
-    std::uint32_t value = 0;
-    for (int i = 0; i < bytes; ++i)
-        value |= std::uint32_t{static_cast<unsigned char>(in[i])} << (8 * i);
-    in.remove_prefix(bytes);
-    return value;
+constexpr std::uint32_t format_byte = 0xA9;
+enum class MessageType : std::uint8_t {
+    lease_request = 1,
+    lease_grant = 2
+};
+constexpr int type_bytes = 1;
+constexpr int checksum_bytes = 2;
+// Of a message behind its type.
+constexpr std::size_t lease_request_bytes = 25;
+constexpr std::size_t lease_grant_bytes = 16;
+static_assert(1 + max_messages_per_datagram * (type_bytes + lease_request_bytes) + checksum_bytes <=
+              max_message_bytes);
+
+// An amount is mantissa << exponent, in steps of lease_unit_step.
+constexpr int mantissa_bits = 12;
+constexpr std::uint32_t max_mantissa = (1U << mantissa_bits) - 1;
+constexpr std::uint32_t max_exponent = 15;
+
+enum class Rounding {
+    up,
+    down
+};
+
+class Writer {
+  public:
+    void write(std::uint32_t value, int bytes) {
+        for (int i = 0; i < bytes; ++i)
+            bytes_.push_back(static_cast<char>((value >> (8 * i)) & 0xFF));
+    }
+    void write_type(MessageType type) { write(static_cast<std::uint32_t>(type), type_bytes); }
+    void write_units(double units, Rounding rounding) {
+        const double max_scaled = static_cast<double>(max_mantissa) * (1U << max_exponent);
+        double mantissa = std::clamp(units / lease_unit_step, 0.0, max_scaled);
+        std::uint32_t exponent = 0;
+        for (; mantissa > max_mantissa; mantissa /= 2)
+            ++exponent;
+        if (rounding == Rounding::up) mantissa = std::ceil(mantissa);
+        write(exponent << mantissa_bits | static_cast<std::uint32_t>(mantissa), 2);
+    }
+    void write_share(double share) {
+        const double steps = std::clamp(share, 0.0, 1.0) * (1 / standing_share_step);
+        write(static_cast<std::uint32_t>(std::lround(steps)), 2);
+    }
+    void write_checksum() { write(hash_name(bytes_), checksum_bytes); }
+    std::string take_bytes() { return std::move(bytes_); }
+
+  private:
+    std::string bytes_;
+};
+
+// The caller checks that as many bytes are left as it reads.
+class Reader {
+  public:
+    explicit Reader(std::string_view bytes) : bytes_(bytes) {}
+
+    std::size_t remaining() const { return bytes_.size(); }
+    std::uint32_t read(int bytes) {
+        std::uint32_t value = 0;
+        for (int i = 0; i < bytes; ++i)
+            value |= std::uint32_t{static_cast<unsigned char>(bytes_[i])} << (8 * i);
+        bytes_.remove_prefix(bytes);
+        return value;
+    }
+    int read_int(int bytes) { return static_cast<int>(read(bytes)); }
+    double read_units() {
+        const std::uint32_t value = read(2);
+        return ((value & max_mantissa) << (value >> mantissa_bits)) * lease_unit_step;
+    }
+    double read_share() { return read(2) / (1 / standing_share_step); }
+
+  private:
+    std::string_view bytes_;
+};
+
+void write_message(Writer& out, const LeaseRequest& request) {
+    out.write_type(MessageType::lease_request);
+    out.write(request.nonce, 4);
+    out.write(request.customer_hash, 4);
+    out.write(static_cast<std::uint32_t>(request.plan), 1);
+    out.write(static_cast<std::uint32_t>(request.subset_size), 2);
+    out.write(static_cast<std::uint32_t>(request.subset_start), 2);
+    out.write_units(request.required_units, Rounding::up);
+    out.write_units(request.extra_units, Rounding::up);
+    out.write_units(request.ceiling_units, Rounding::up);
+    out.write_units(request.demand_rate, Rounding::up);
+    out.write_units(request.returned_units, Rounding::down);
+    out.write_share(request.standing_share);
 }
-double take_units(std::string_view& in) {
-    const std::uint32_t value = take(in, 2);
-    return ((value & 0xFFF) << (value >> 12)) / sixteenths;
+
+void write_message(Writer& out, const LeaseGrant& grant) {
+    constexpr std::uint32_t max_wait_ms = 65535;
+    out.write_type(MessageType::lease_grant);
+    out.write(grant.nonce, 4);
+    out.write_units(grant.units, Rounding::down);
+    out.write_units(grant.ceiling_units, Rounding::down);
+    out.write(std::min(grant.wait_ms, max_wait_ms), 2);
+    out.write_units(grant.demand_rate, Rounding::down);
+    out.write_share(grant.standing_share);
+    out.write(static_cast<std::uint32_t>(grant.holder_count), 2);
 }
 
-LeaseRequest take_ask(std::string_view& in) {
-    LeaseRequest ask;
-    ask.nonce = take(in, 4);
-    ask.customer_hash = take(in, 4);
-    ask.plan = static_cast<int>(take(in, 1));
-    ask.subset_size = static_cast<int>(take(in, 2));
-    ask.subset_start = static_cast<int>(take(in, 2));
-    ask.required_units = take_units(in);
-    ask.extra_units = take_units(in);
-    ask.ceiling_units = take_units(in);
-    ask.demand_rate = take_units(in);
-    ask.returned_units = take_units(in);
-    ask.standing_share = take(in, 2) / parts;
-    return ask;
+LeaseRequest read_lease_request(Reader& in) {
+    LeaseRequest request;
+    request.nonce = in.read(4);
+    request.customer_hash = in.read(4);
+    request.plan = in.read_int(1);
+    request.subset_size = in.read_int(2);
+    request.subset_start = in.read_int(2);
+    request.required_units = in.read_units();
+    request.extra_units = in.read_units();
+    request.ceiling_units = in.read_units();
+    request.demand_rate = in.read_units();
+    request.returned_units = in.read_units();
+    request.standing_share = in.read_share();
+    return request;
 }
-LeaseGrant take_given(std::string_view& in) {
-    LeaseGrant given;
-    given.nonce = take(in, 4);
-    given.units = take_units(in);
-    given.ceiling_units = take_units(in);
-    given.wait_ms = take(in, 2);
-    given.demand_rate = take_units(in);
-    given.standing_share = take(in, 2) / parts;
-    given.holder_count = static_cast<int>(take(in, 2));
-    return given;
+
+LeaseGrant read_lease_grant(Reader& in) {
+    LeaseGrant grant;
+    grant.nonce = in.read(4);
+    grant.units = in.read_units();
+    grant.ceiling_units = in.read_units();
+    grant.wait_ms = in.read(2);
+    grant.demand_rate = in.read_units();
+    grant.standing_share = in.read_share();
+    grant.holder_count = in.read_int(2);
+    return grant;
 }
+
 }  // namespace
 
 double round_down_to_step(double amount, double step) {
     return std::floor(amount / step) * step;
 }
 
-std::uint32_t hash_name(std::string_view name) {
-    std::uint32_t h = 2166136261u;  // FNV-1a
-    for (unsigned char c : name)
-        h = (h ^ c) * 16777619u;
-    return h;
-}
-
 std::string encode(const std::vector<PeerMessage>& messages) {
-    std::string out;
-    put(out, format_mark, 1);
+    Writer out;
+    out.write(format_byte, 1);
     for (std::size_t i = 0; i < std::min(messages.size(), max_messages_per_datagram); ++i)
-        std::visit([&](const auto& m) { put_message(out, m); }, messages[i]);
-    put(out, hash_name(out), check_bytes);
-    return out;
+        std::visit([&](const auto& message) { write_message(out, message); }, messages[i]);
+    out.write_checksum();
+    return out.take_bytes();
 }
 
-std::optional<std::vector<PeerMessage>> decode(std::string_view in) {
-    if (in.size() < 1 + check_bytes || in.size() > max_message_bytes) return std::nullopt;
-    std::string_view tail = in.substr(in.size() - check_bytes);
-    in.remove_suffix(check_bytes);
-    if (take(tail, check_bytes) != (hash_name(in) & 0xFFFF) || take(in, 1) != format_mark)
-        return std::nullopt;
+std::optional<std::vector<PeerMessage>> decode(std::string_view bytes) {
+    if (bytes.size() < 1 + checksum_bytes || bytes.size() > max_message_bytes) return std::nullopt;
+    Reader checksum(bytes.substr(bytes.size() - checksum_bytes));
+    bytes.remove_suffix(checksum_bytes);
+    if (checksum.read(checksum_bytes) != (hash_name(bytes) & 0xFFFF)) return std::nullopt;
+    Reader in(bytes);
+    if (in.read(1) != format_byte) return std::nullopt;
     std::vector<PeerMessage> messages;
-    while (!in.empty()) {
-        const std::uint32_t mark = take(in, 1);
-        if (mark == ask_mark && in.size() >= ask_bytes - 1)
-            messages.push_back(take_ask(in));
-        else if (mark == given_mark && in.size() >= given_bytes - 1)
-            messages.push_back(take_given(in));
+    while (in.remaining() > 0) {
+        const auto type = static_cast<MessageType>(in.read(type_bytes));
+        if (type == MessageType::lease_request && in.remaining() >= lease_request_bytes)
+            messages.emplace_back(read_lease_request(in));
+        else if (type == MessageType::lease_grant && in.remaining() >= lease_grant_bytes)
+            messages.emplace_back(read_lease_grant(in));
         else
             return std::nullopt;
     }
--- a/src/decisions/quota/quota_manager.cpp
+++ b/src/decisions/quota/quota_manager.cpp
@@ -78,8 +78,7 @@
 
 void QuotaManager::correct_units(CustomerQuota& customer, double charged_units,
                                  double actual_units) {
-    if (actual_units > 0 && context_.settings.units_corrected_by_response)
-        customer.correct_units(charged_units, actual_units);
+    customer.correct_units(charged_units, actual_units);
 }
 
 void QuotaManager::on_peer_message(int from, const std::string& bytes) {
--- a/tests/decisions/quota/lease_codec_test.cpp
+++ b/tests/decisions/quota/lease_codec_test.cpp
@@ -1,43 +1,44 @@
+#include "decisions/quota/lease_codec.h"
+
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "decisions/quota/lease_codec.h"
-
 using namespace silverreach;
 
-TEST(PeerMessage, GoesAndComesBack) {
-    const LeaseRequest ask{
+TEST(LeaseCodec, DecodesWhatItEncoded) {
+    const LeaseRequest request{
         77, 0xFFFFFFFF, 3, 512, 511, 1.01, 2, 0.5, 20'000, 3.49, 5 * standing_share_step};
-    const LeaseGrant given{78, 2.99, 1, 1500, 40.5, 1, 500};
-    const auto back = decode(encode({ask, given}));
-    ASSERT_TRUE(back);
-    ASSERT_EQ(back->size(), 2u);
-    const LeaseRequest& a = std::get<LeaseRequest>(back->at(0));
-    EXPECT_EQ(a.nonce, 77u);
-    EXPECT_EQ(a.customer_hash, 0xFFFFFFFFu);
-    EXPECT_EQ(a.plan, 3);
-    EXPECT_EQ(a.subset_size, 512);
-    EXPECT_EQ(a.subset_start, 511);
-    EXPECT_EQ(a.required_units, 1.0625);  // asks are rounded up, parts given down
-    EXPECT_EQ(a.extra_units, 2);
-    EXPECT_EQ(a.ceiling_units, 0.5);
-    EXPECT_NEAR(a.demand_rate, 20'000,
+    const LeaseGrant grant{78, 2.99, 1, 1500, 40.5, 1, 500};
+    const auto messages = decode(encode({request, grant}));
+    ASSERT_TRUE(messages);
+    ASSERT_EQ(messages->size(), 2u);
+    const auto& decoded_request = std::get<LeaseRequest>(messages->at(0));
+    EXPECT_EQ(decoded_request.nonce, 77u);
+    EXPECT_EQ(decoded_request.customer_hash, 0xFFFFFFFFu);
+    EXPECT_EQ(decoded_request.plan, 3);
+    EXPECT_EQ(decoded_request.subset_size, 512);
+    EXPECT_EQ(decoded_request.subset_start, 511);
+    EXPECT_EQ(decoded_request.required_units, 1.0625);  // requests are rounded up, grants down
+    EXPECT_EQ(decoded_request.extra_units, 2);
+    EXPECT_EQ(decoded_request.ceiling_units, 0.5);
+    EXPECT_NEAR(decoded_request.demand_rate, 20'000,
                 20'000 / 2048.0);  // large amounts lose their last digits, upwards
-    EXPECT_GE(a.demand_rate, 20'000);
-    EXPECT_EQ(a.returned_units, 3.4375);  // given back: down
-    EXPECT_NEAR(a.standing_share, 5 * standing_share_step, standing_share_step / 1000);
-    const LeaseGrant& g = std::get<LeaseGrant>(back->at(1));
-    EXPECT_EQ(g.nonce, 78u);
-    EXPECT_EQ(g.units, 2.9375);
-    EXPECT_EQ(g.ceiling_units, 1);
-    EXPECT_EQ(g.wait_ms, 1500u);
-    EXPECT_EQ(g.demand_rate, 40.5);
-    EXPECT_EQ(g.standing_share, 1);
-    EXPECT_EQ(g.holder_count, 500);
+    EXPECT_GE(decoded_request.demand_rate, 20'000);
+    EXPECT_EQ(decoded_request.returned_units, 3.4375);  // returned units: down
+    EXPECT_NEAR(decoded_request.standing_share, 5 * standing_share_step,
+                standing_share_step / 1000);
+    const auto& decoded_grant = std::get<LeaseGrant>(messages->at(1));
+    EXPECT_EQ(decoded_grant.nonce, 78u);
+    EXPECT_EQ(decoded_grant.units, 2.9375);
+    EXPECT_EQ(decoded_grant.ceiling_units, 1);
+    EXPECT_EQ(decoded_grant.wait_ms, 1500u);
+    EXPECT_EQ(decoded_grant.demand_rate, 40.5);
+    EXPECT_EQ(decoded_grant.standing_share, 1);
+    EXPECT_EQ(decoded_grant.holder_count, 500);
 }
 
-TEST(PeerMessage, AFullOneFits) {
+TEST(LeaseCodec, AFullDatagramFits) {
     const std::string bytes =
         encode(std::vector<PeerMessage>(max_messages_per_datagram + 3, LeaseRequest{}));
     EXPECT_LE(bytes.size(), max_message_bytes);
@@ -45,7 +46,7 @@
     EXPECT_EQ(decode(bytes)->size(), max_messages_per_datagram);
 }
 
-TEST(PeerMessage, ForeignBytesAreDropped) {
+TEST(LeaseCodec, RejectsForeignBytes) {
     std::mt19937_64 random(5);
     const std::string good = encode({LeaseRequest{}, LeaseGrant{}});
     for (std::size_t cut = 0; cut < good.size(); ++cut)
