--- a/src/decisions/quota/customer_quota.cpp
+++ b/src/decisions/quota/customer_quota.cpp
@@ -1,16 +1,11 @@
 #include "decisions/quota/customer_quota.h"
 
 #include <algorithm>
-#include <cmath>
 #include <utility>
 
 namespace silverreach {
 namespace {
 
-constexpr double demand_memory_s = 2;
-// Expected requests that have to be missing before the demand counts as ended: by chance that
-// happens with e^-3.5, 3%.
-constexpr double missing_requests_when_idle = 3.5;
 constexpr Micros fleet_demand_validity{5'000'000};
 constexpr double min_fleet_demand_rate = 1e-9;  // divisor
 // Demand over the quota by which waiting for a lease is in vain.
@@ -28,22 +23,19 @@
       subset_{customer_hash},
       plan_(plan),
       refilled_at_(context.boot),
-      first_request_at_(context.now) {}
+      demand_(context.now) {}
 
 const Plan* CustomerQuota::plan() const {
     return plan_ < 0 ? nullptr : &context_.settings.plans[plan_];
 }
 
-// ---- requests
-
 void CustomerQuota::on_request(const RequestArrived& request, double units) {
     const int instance_count = context_.settings.instance_count;
     if (request.plan >= 0 && request.plan != plan_) change_plan(request.plan);
     subset_.size = std::max(subset_.size, std::clamp(request.subset_size, 1, instance_count));
     subset_.start = ((request.subset_start % instance_count) + instance_count) % instance_count;
-    last_request_at_ = context_.now;
     refill();
-    demand_units_.add(units, context_.now, demand_memory_s);
+    demand_.add_request(context_.now, units);
 }
 
 // What the stores hold stays, cut to the new plan's limits, and nothing is added: switching back
@@ -57,8 +49,9 @@
     ceiling_units_ = std::min(ceiling_units_, max_ceiling_units());
 }
 
-// The store may be overdrawn by a part of what the standing lease surely brings, and by one request
-// while the demand on all instances is within the quota: the next leases cover it.
+// The store may be overdrawn by some of what the standing lease surely brings, and by one request
+// while the demand on all instances is within the quota: the next leases cover it, and the request
+// need not wait for them.
 double CustomerQuota::missing_units(double units) const {
     const Plan* const plan = this->plan();
     if (plan == nullptr || plan->rate <= 0) return 0;
@@ -142,16 +135,8 @@
     return std::nullopt;
 }
 
-// ---- demand
-
 double CustomerQuota::demand_rate() const {
-    const Micros now = context_.now;
-    const double age_s = std::max(seconds(now - first_request_at_), demand_memory_s);
-    // A counter that is younger than some memories has not seen the full amount yet.
-    const double full_memory_s = demand_memory_s * (1 - std::exp(-age_s / demand_memory_s));
-    const double rate = demand_units_.value(now, demand_memory_s) / full_memory_s;
-    if (rate * seconds(now - last_request_at_) > missing_requests_when_idle) return 0;
-    return std::ceil(rate / lease_unit_step) * lease_unit_step;
+    return demand_.rate(context_.now);
 }
 
 double CustomerQuota::demand_share() const {
@@ -159,7 +144,7 @@
     const double even_share = 1.0 / subset_.size;
     if (owner_reported_at_ <= Micros{0} || now - owner_reported_at_ > fleet_demand_validity)
         return even_share;
-    const double own_rate = demand_units_.value(now, demand_memory_s) / demand_memory_s;
+    const double own_rate = demand_.mean_rate(now);
     const double fleet_rate = std::max({own_rate, fleet_demand_rate_, min_fleet_demand_rate});
     return std::clamp(own_rate / fleet_rate, even_share, 1.0);
 }
@@ -171,8 +156,6 @@
            quota_owner(subset_, 0, context_.settings.instance_count) != context_.settings.rank;
 }
 
-// ---- leases
-
 // The standing lease's share; 0 once it expired.
 double CustomerQuota::running_share() const {
     return context_.now < standing_until_ ? standing_share_ : 0;
--- a/src/decisions/quota/customer_quota.h
+++ b/src/decisions/quota/customer_quota.h
@@ -9,8 +9,8 @@
 #include <deque>
 #include <optional>
 
-#include "decisions/decaying_counter.h"
 #include "decisions/decision_context.h"
+#include "decisions/quota/demand_estimator.h"
 #include "decisions/quota/lease_codec.h"
 #include "decisions/quota/lease_terms.h"
 #include "decisions/quota/owner_placement.h"
@@ -44,8 +44,6 @@
     CustomerQuota(const DecisionContext& context, const LeaseTerms& terms,
                   std::uint32_t customer_hash, int plan);
 
-    // ---- requests
-
     // Notes a request of `units`: the demand, the subset it names, and a change of the plan.
     void on_request(const RequestArrived& request, double units);
     // Units that the rate store, or the ceiling store, lacks for a request; 0: covered.
@@ -60,19 +58,17 @@
     // A response reported the units that its request really cost. Changes nothing where
     // `actual_units` is 0 (not reported) or the settings leave it out.
     void correct_units(double charged_units, double actual_units);
-    // Retry-After where the owner reported so recently that no lease will come for `units` that
-    // requesting one is of no use; else nothing.
+    // Retry-After where the owner's last replies show that no lease will come for `units`: it
+    // granted nothing, or the demand on all instances exceeds the quota. Else nothing.
     std::optional<Micros> known_shortage(double units) const;
     // The owner granted nothing to a waiting request of `units` until `retry_after` from now.
     void note_shortage(double units, Micros retry_after);
-    // Where no owner answers: the even share of the quota over the subset decides, one request at
-    // a time. Over-commit is bounded by one request for each instance of the subset. Returns
-    // nothing where the stores cover `units` now, else the Retry-After; `lease_timeout` where that
-    // depends on the owner.
+    // Where no owner responds: admits by this instance's even share of the quota, one request at a
+    // time. Over-commit is bounded by one request for each instance of the subset. Returns nothing
+    // where the stores cover `units` now, else the Retry-After; `lease_timeout` where that depends
+    // on the owner.
     std::optional<Micros> draw_even_share(double units, Micros lease_timeout);
 
-    // ---- demand
-
     // Units a second requested here, rounded up to the step of the wire; 0 once several expected
     // requests are missing.
     double demand_rate() const;
@@ -80,16 +76,15 @@
     // owner did not report that demand lately.
     double demand_share() const;
     bool is_steady() const { return terms_.is_steady(demand_rate(), holder_count_); }
-    // Another instance is the owner, reported within a lease lifetime, and is asked steadily.
+    // True where another instance is the owner, it replied within a lease lifetime, and it gets
+    // lease requests steadily.
     bool has_recent_owner_report() const;
 
-    // ---- leases
-
     // Adds what the standing lease and the even share of the ceiling brought since the last call.
     // What exceeds the rate store is overflow, and goes back to the owner.
     void refill();
-    // The next lease request: for the waiting request's units, or, with none waiting, for the
-    // demand until the next renewal. Takes what is returned to the owner out of the store.
+    // The next lease request: for `waiting_units` that the first waiting request costs, or, with
+    // none waiting, for the demand until the next renewal. Deducts the units that it returns.
     LeaseRequest make_lease_request(std::uint32_t nonce, std::optional<double> waiting_units);
     // Adds a grant to the stores and starts its standing lease.
     void apply_grant(const LeaseGrant& grant);
@@ -103,7 +98,7 @@
     const CustomerSubset& subset() const { return subset_; }
     // Instances that hold leases of this customer, as the owner reported; 1 at least.
     int holder_count() const { return holder_count_; }
-    Micros last_request_at() const { return last_request_at_; }
+    Micros last_request_at() const { return demand_.last_request_at(); }
 
     PendingLease pending_lease;
     int attempts_in_flight = 0;
@@ -122,20 +117,17 @@
     int plan_;
     int holder_count_ = 1;
 
-    double units_ = 0;  // of the rate quota; negative: overdrawn
-    double overflow_units_ = 0;
+    double units_ = 0;           // of the rate quota; negative: overdrawn
+    double overflow_units_ = 0;  // returned with the next lease request
     double ceiling_units_ = 0;
     double reserved_ceiling_units_ = 0;  // included in ceiling_units_
     Micros refilled_at_;
     Micros even_share_free_at_{0};  // when the even share next covers a request
 
-    double standing_share_ = 0;  // of the quota, that refills the stores here
+    double standing_share_ = 0;  // standing lease: share of the quota that refills the stores
     Micros standing_until_{0};
 
-    DecayingCounter demand_units_;
-    Micros first_request_at_;
-    Micros last_request_at_{0};
-
+    DemandEstimator demand_;
     Micros lease_requested_at_{0};
     double requested_demand_rate_ = 0;  // as the last lease request reported it
     double fleet_demand_rate_ = 0;      // on all instances, as the owner reported
--- /dev/null
+++ b/src/decisions/quota/demand_estimator.cpp
@@ -0,0 +1,36 @@
+#include "decisions/quota/demand_estimator.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "decisions/quota/lease_codec.h"
+
+namespace silverreach {
+namespace {
+
+constexpr double memory_s = 2;
+// Expected requests that have to be missing before the demand counts as ended: by chance that
+// happens with e^-3.5, 3%.
+constexpr double missing_requests_when_ended = 3.5;
+
+}  // namespace
+
+void DemandEstimator::add_request(Micros now, double units) {
+    units_.add(units, now, memory_s);
+    last_request_at_ = now;
+}
+
+double DemandEstimator::rate(Micros now) const {
+    const double age_s = std::max(seconds(now - first_request_at_), memory_s);
+    // A counter that is younger than some memories has not seen the full amount yet.
+    const double full_memory_s = memory_s * (1 - std::exp(-age_s / memory_s));
+    const double rate = units_.value(now, memory_s) / full_memory_s;
+    if (rate * seconds(now - last_request_at_) > missing_requests_when_ended) return 0;
+    return std::ceil(rate / lease_unit_step) * lease_unit_step;
+}
+
+double DemandEstimator::mean_rate(Micros now) const {
+    return units_.value(now, memory_s) / memory_s;
+}
+
+}  // namespace silverreach
--- a/src/decisions/quota/lease_client.h
+++ b/src/decisions/quota/lease_client.h
@@ -2,9 +2,9 @@
 // of need, and falls back where the owner does not respond.
 //
 // For each customer at most one lease request is in flight. Its states (PendingLease): none; in
-// flight with requests of clients waiting; in flight for a renewal. A request ends by a grant, or
-// by its timeout; then the next attempt goes to the owner or one of its successors, and after the
-// last one the even share of the quota decides.
+// flight with requests of clients waiting; in flight for a renewal. A lease request ends by a grant
+// or by its timeout. After a timeout the next attempt goes to the owner or one of its successors;
+// after the last one the even share of the quota decides.
 #pragma once
 
 #include <cstdint>
--- a/src/decisions/quota/lease_terms.cpp
+++ b/src/decisions/quota/lease_terms.cpp
@@ -12,10 +12,10 @@
 constexpr Micros min_lease_lifetime{2'000'000};
 constexpr int lease_lifetime_periods = 4;  // renewals that may be lost before a lease expires
 
-// Even shares take half of a ceiling in small subsets; in larger ones as much as two even shares
-// of the whole, so that the common rest grows.
-constexpr double max_even_part = 0.5;
-constexpr double even_part_instances = 2;
+// The evenly split share of a ceiling: half in small subsets; in larger ones it shrinks, since most
+// instances leave theirs unused.
+constexpr double max_split_share = 0.5;
+constexpr double split_share_instances = 2;
 
 }  // namespace
 
@@ -38,7 +38,7 @@
 }
 
 double common_ceiling_share(int subset_size) {
-    return 1 - std::min(max_even_part, even_part_instances / subset_size);
+    return 1 - std::min(max_split_share, split_share_instances / subset_size);
 }
 
 double even_ceiling_share(double amount, int subset_size) {
--- a/src/decisions/quota/lease_terms.h
+++ b/src/decisions/quota/lease_terms.h
@@ -11,8 +11,8 @@
 // Renewal periods of demand that a lease covers, so that the next one comes before it is used up;
 // and messages of its intake that an owner reserves for each holder in a period.
 inline constexpr double renewal_margin = 1.5;
-// Units in a holder's store, and units by which it may be overdrawn, as a share of the burst set
-// aside for its standing lease. The owner deducts both.
+// Units that a holder's store keeps, and by which it may be overdrawn, as shares of the burst that
+// is set aside for its standing lease. The owner deducts both.
 inline constexpr double standing_store_share = 0.5;
 inline constexpr double standing_overdraft_share = 0.25;
 
@@ -37,8 +37,8 @@
     const Settings& settings_;
 };
 
-// A ceiling is divided without any message: every instance of the subset has an even share of one
-// part, the owner grants leases on the common rest.
+// A ceiling is divided in two: one is split evenly over the subset and needs no lease, on the
+// other, the common share, the owner grants leases.
 double common_ceiling_share(int subset_size);
 // One instance's even share of `amount`, a ceiling's rate or burst.
 double even_ceiling_share(double amount, int subset_size);
--- a/src/decisions/quota/peer_mailbox.h
+++ b/src/decisions/quota/peer_mailbox.h
@@ -2,7 +2,7 @@
 // unresponsive.
 //
 // Messages of one event to one peer travel together. Requests go out at once while they are few;
-// what comes faster than the peer's intake allows is held back and bundled, requests that somebody
+// what comes faster than the peer's intake allows is delayed and bundled, requests with clients
 // waits for first. Grants always go at once: they are as many as requests received.
 #pragma once
 
@@ -26,12 +26,12 @@
 
     // Queues a message for flush(). A full outbox drops it: leases recover from lost messages.
     // `holder_count`: instances that send to this owner. Returns how long the request is expected
-    // to be held back.
+    // to be delayed.
     Micros post_request(int rank, const LeaseRequest& request, int holder_count);
     void post_grant(int rank, const LeaseGrant& grant);
     // Sends what this event posted, as far as the peers' intake allows.
     void flush();
-    // The timer for messages held back fired.
+    // The timer for delayed messages fired.
     void on_outbox_timer(int rank);
 
     void on_message_received(int rank);
--- a/src/decisions/quota/quota_ledger.cpp
+++ b/src/decisions/quota/quota_ledger.cpp
@@ -10,12 +10,11 @@
 namespace silverreach {
 namespace {
 
-// Of the burst in a new ledger, and the most in a successor's: each restart would grant a whole
-// burst otherwise.
+// Of the burst, in a new ledger, and at most in a successor's. A whole burst would be granted again
+// after each restart.
 constexpr double initial_burst_share = 0.5;
 constexpr double max_leased_share = 0.9;  // sum of all standing leases of a customer
-// Below this share of the rate as demand on all instances the standing leases stay in proportion to
-// the demand, and the rest with the owner.
+// A standing lease brings about so many times its holder's demand at most.
 constexpr double max_standing_per_demand = 2;
 constexpr double max_surplus_share = 0.5;  // of the pool, beyond what is required, for one holder
 constexpr double surplus_per_demand_share = 2;
@@ -26,15 +25,15 @@
 }  // namespace
 
 // What is fixed while one request is decided on.
-struct QuotaLedger::GrantTerms {
+struct QuotaLedger::GrantInput {
     const LeaseRequest& request;
     const Plan& plan;
     int rank;          // of the requesting instance
     int holder_count;  // with it
     // Only the owner grants of the ceiling, and standing leases; a successor bridges its absence.
     bool is_owner;
-    bool is_stale;  // an older or repeated request
-    double common_share;
+    bool is_stale;        // an older or repeated request
+    double common_share;  // of the ceiling
     // From then on leases granted by an earlier incarnation of this instance have expired, unless
     // all of the subset already reported theirs.
     Micros leases_known_at;
@@ -59,26 +58,26 @@
       refilled_at_(context.boot) {}
 
 LeaseGrant QuotaLedger::grant(const LeaseRequest& request, int rank) {
-    const GrantTerms grant_terms = terms_for(request, rank);
-    refill(grant_terms);
+    const GrantInput input = input_for(request, rank);
+    refill(input);
     LeaseHolder& holder = holders_[rank];
-    record_request(grant_terms, holder);
+    record_request(input, holder);
     remove_idle_holders();
-    const double fleet_demand_rate = demand_rate(grant_terms);
+    const double fleet_demand_rate = demand_rate(input);
     leased_share_ = share_leased_to_others(rank);
-    holder.granted_share = standing_share_for(grant_terms, fleet_demand_rate);
+    holder.granted_share = standing_share_for(input, fleet_demand_rate);
     leased_share_ += holder.running_share(context_.now);
-    add_returned_units(grant_terms);
+    add_returned_units(input);
 
     LeaseGrant grant{request.nonce};
     grant.demand_rate = fleet_demand_rate;
     grant.standing_share = holder.granted_share;
-    grant.holder_count = grant_terms.is_owner ? grant_terms.holder_count : 0;
-    grant_units(grant_terms, grant);
+    grant.holder_count = input.is_owner ? input.holder_count : 0;
+    grant_units(input, grant);
     return grant;
 }
 
-QuotaLedger::GrantTerms QuotaLedger::terms_for(const LeaseRequest& request, int rank) const {
+QuotaLedger::GrantInput QuotaLedger::input_for(const LeaseRequest& request, int rank) const {
     const Settings& settings = context_.settings;
     const auto known = holders_.find(rank);
     const bool is_known = known != holders_.end();
@@ -99,49 +98,48 @@
         .leases_known_at = leases_known_at};
 }
 
-// The pool refills by the part of the rates that no standing lease brings elsewhere, up to what
-// these do not keep of the burst.
-void QuotaLedger::refill(const GrantTerms& grant_terms) {
-    const Plan& plan = grant_terms.plan;
+// The pool refills by what the standing leases leave of the rates, up to what they leave of the
+// burst.
+void QuotaLedger::refill(const GrantInput& input) {
+    const Plan& plan = input.plan;
     const Micros now = context_.now;
     const Micros last = std::exchange(refilled_at_, now);
     const double free_share = 1 - leased_share_;
     const double free_s = seconds(now - last) * free_share;
     const double leased_units =
-        leased_share_ *
-        terms_.standing_burst(plan.rate, plan.burst, grant_terms.request.subset_size) *
+        leased_share_ * terms_.standing_burst(plan.rate, plan.burst, input.request.subset_size) *
         (standing_store_share + standing_overdraft_share);
     const double max_units =
-        grant_terms.is_owner ? plan.burst - leased_units : initial_burst_share * plan.burst;
+        input.is_owner ? plan.burst - leased_units : initial_burst_share * plan.burst;
     units_ = std::min(max_units, units_ + free_s * plan.rate);
-    if (grant_terms.is_owner && now > grant_terms.leases_known_at)
-        ceiling_units_ += seconds(now - std::max(last, grant_terms.leases_known_at)) * free_share *
-                          grant_terms.common_share * plan.ceiling_rate;
+    if (input.is_owner && now > input.leases_known_at)
+        ceiling_units_ += seconds(now - std::max(last, input.leases_known_at)) * free_share *
+                          input.common_share * plan.ceiling_rate;
 }
 
 // Updates the holder's entry; the standing lease is not granted yet. Where the request shows that
 // the last grant arrived, the larger share that was assumed to run meanwhile is added back.
-void QuotaLedger::record_request(const GrantTerms& grant_terms, LeaseHolder& holder) {
-    const LeaseRequest& request = grant_terms.request;
-    const Plan& plan = grant_terms.plan;
+void QuotaLedger::record_request(const GrantInput& input, LeaseHolder& holder) {
+    const LeaseRequest& request = input.request;
+    const Plan& plan = input.plan;
     const Micros now = context_.now;
     const bool grant_arrived =
         std::abs(request.standing_share - holder.granted_share) < standing_share_step / 2;
-    if (!grant_terms.is_stale && grant_arrived) {
+    if (!input.is_stale && grant_arrived) {
         const double overestimate_s = (holder.running_share(now) - holder.granted_share) *
                                       seconds(now - holder.last_request_at);
         units_ += overestimate_s * plan.rate;
-        if (grant_terms.is_owner)
-            ceiling_units_ += overestimate_s * plan.ceiling_rate * grant_terms.common_share;
+        if (input.is_owner)
+            ceiling_units_ += overestimate_s * plan.ceiling_rate * input.common_share;
     }
-    holder.requested_share = grant_terms.is_stale
+    holder.requested_share = input.is_stale
                                  ? std::max(request.standing_share, holder.running_share(now))
                                  : request.standing_share;
     holder.demand_rate = request.demand_rate;
     holder.granted_share = 0;
     holder.last_request_at = now;
     holder.lease_expires_at =
-        now + LeaseTerms::lease_lifetime(terms_.renewal_period(grant_terms.holder_count));
+        now + LeaseTerms::lease_lifetime(terms_.renewal_period(input.holder_count));
     holder.last_nonce = request.nonce;
 }
 
@@ -150,10 +148,10 @@
                   [this](const auto& entry) { return entry.second.is_idle(context_.now); });
 }
 
-double QuotaLedger::demand_rate(const GrantTerms& grant_terms) const {
-    double sum = grant_terms.request.demand_rate;
+double QuotaLedger::demand_rate(const GrantInput& input) const {
+    double sum = input.request.demand_rate;
     for (const auto& [rank, holder] : holders_)
-        if (rank != grant_terms.rank) sum += holder.demand_rate;
+        if (rank != input.rank) sum += holder.demand_rate;
     return sum;
 }
 
@@ -166,47 +164,45 @@
 
 // Standing leases follow the demand. None for the owner itself, for demand that is not steady, nor
 // where its store could not keep an average request: it would lie idle.
-double QuotaLedger::standing_share_for(const GrantTerms& grant_terms,
-                                       double fleet_demand_rate) const {
-    const LeaseRequest& request = grant_terms.request;
-    if (!grant_terms.is_owner || grant_terms.rank == context_.settings.rank ||
-        !terms_.is_steady(request.demand_rate, grant_terms.holder_count))
+double QuotaLedger::standing_share_for(const GrantInput& input, double fleet_demand_rate) const {
+    const LeaseRequest& request = input.request;
+    if (!input.is_owner || input.rank == context_.settings.rank ||
+        !terms_.is_steady(request.demand_rate, input.holder_count))
         return 0;
-    const double rate = grant_terms.main_rate();
+    const double rate = input.main_rate();
     const double total_demand =
         std::max({fleet_demand_rate, rate / max_standing_per_demand, min_rate});
     const double fair_share = std::min(max_leased_share * request.demand_rate / total_demand,
                                        max_leased_share - leased_share_);
     const double standing_burst =
-        terms_.standing_burst(rate, grant_terms.main_burst(), request.subset_size);
+        terms_.standing_burst(rate, input.main_burst(), request.subset_size);
     if (fair_share * standing_burst < context_.traffic.mean_units) return 0;
     // A restarted owner of a ceiling renews what runs, no more: other leases are not known yet.
-    const bool renew_only =
-        grant_terms.plan.ceiling_rate > 0 && context_.now <= grant_terms.leases_known_at;
+    const bool renew_only = input.plan.ceiling_rate > 0 && context_.now <= input.leases_known_at;
     const double share = renew_only ? std::min(fair_share, request.standing_share) : fair_share;
     return round_down_to_step(share, standing_share_step);
 }
 
 // A repeated request returns its units only once. The ceiling's pool is cut to what the standing
-// leases do not keep of it.
-void QuotaLedger::add_returned_units(const GrantTerms& grant_terms) {
-    const Plan& plan = grant_terms.plan;
-    const LeaseRequest& request = grant_terms.request;
-    if (!grant_terms.is_stale) {
+// leases leave of it.
+void QuotaLedger::add_returned_units(const GrantInput& input) {
+    const Plan& plan = input.plan;
+    const LeaseRequest& request = input.request;
+    if (!input.is_stale) {
         units_ += request.returned_units;
         if (plan.rate <= 0) ceiling_units_ += request.returned_units;
     }
     const double leased_ceiling_units =
         leased_share_ *
         terms_.standing_burst(plan.ceiling_rate, plan.ceiling_burst, request.subset_size);
-    ceiling_units_ = std::min(
-        ceiling_units_, grant_terms.common_share * (plan.ceiling_burst - leased_ceiling_units));
+    ceiling_units_ =
+        std::min(ceiling_units_, input.common_share * (plan.ceiling_burst - leased_ceiling_units));
 }
 
 // Seconds until the pool covers what is required; 0: it does.
-double QuotaLedger::wait_s(const GrantTerms& grant_terms) const {
-    const LeaseRequest& request = grant_terms.request;
-    const Plan& plan = grant_terms.plan;
+double QuotaLedger::wait_s(const GrantInput& input) const {
+    const LeaseRequest& request = input.request;
+    const Plan& plan = input.plan;
     double wait = 0;
     if (request.required_units > units_)
         wait = (request.required_units - units_) / std::max(plan.rate, min_rate);
@@ -216,9 +212,9 @@
     return wait;
 }
 
-void QuotaLedger::grant_units(const GrantTerms& grant_terms, LeaseGrant& grant) {
-    const LeaseRequest& request = grant_terms.request;
-    const double wait = wait_s(grant_terms);
+void QuotaLedger::grant_units(const GrantInput& input, LeaseGrant& grant) {
+    const LeaseRequest& request = input.request;
+    const double wait = wait_s(input);
     if (wait > 0) grant.wait_ms = static_cast<std::uint32_t>(std::min(wait, max_wait_s) * 1e3) + 1;
     if (wait > 0 && request.required_units > 0) return;
     const double surplus_share =
--- a/src/decisions/quota/quota_ledger.h
+++ b/src/decisions/quota/quota_ledger.h
@@ -32,8 +32,8 @@
 // Single-threaded. Rates are in units a second.
 class QuotaLedger {
   public:
-    // `context` and `terms` outlive this. Starts with a part of the burst and nothing of the
-    // ceiling.
+    // `context` and `terms` outlive this. Starts with half of the burst and nothing of the ceiling:
+    // what an earlier incarnation granted is not known.
     QuotaLedger(const DecisionContext& context, const LeaseTerms& terms, const Plan& plan);
 
     // Decides on a request of the instance `rank`. Grants what is required or nothing; on top, by
@@ -42,23 +42,23 @@
     Micros last_request_at() const { return refilled_at_; }
 
   private:
-    struct GrantTerms;
+    struct GrantInput;
 
-    GrantTerms terms_for(const LeaseRequest& request, int rank) const;
-    void refill(const GrantTerms& grant_terms);
-    void record_request(const GrantTerms& grant_terms, LeaseHolder& holder);
+    GrantInput input_for(const LeaseRequest& request, int rank) const;
+    void refill(const GrantInput& input);
+    void record_request(const GrantInput& input, LeaseHolder& holder);
     void remove_idle_holders();
-    double demand_rate(const GrantTerms& grant_terms) const;
+    double demand_rate(const GrantInput& input) const;
     double share_leased_to_others(int rank) const;
-    double standing_share_for(const GrantTerms& grant_terms, double fleet_demand_rate) const;
-    void add_returned_units(const GrantTerms& grant_terms);
-    double wait_s(const GrantTerms& grant_terms) const;
-    void grant_units(const GrantTerms& grant_terms, LeaseGrant& grant);
+    double standing_share_for(const GrantInput& input, double fleet_demand_rate) const;
+    void add_returned_units(const GrantInput& input);
+    double wait_s(const GrantInput& input) const;
+    void grant_units(const GrantInput& input, LeaseGrant& grant);
 
     const DecisionContext& context_;
     const LeaseTerms& terms_;
     double units_;              // of the rate quota, that no instance holds
-    double ceiling_units_ = 0;  // of the ceiling's common share
+    double ceiling_units_ = 0;  // of the ceiling's common share, that no instance holds
     double leased_share_ = 0;   // sum of the standing leases that may run
     Micros refilled_at_;
     std::map<int, LeaseHolder> holders_;  // by rank
--- a/src/decisions/quota/quota_listener.h
+++ b/src/decisions/quota/quota_listener.h
@@ -1,4 +1,4 @@
-// How the quota side tells the rest of the engine what became of a request that waited for a lease.
+// Notifies the engine of what became of the requests that waited for a lease.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,7 @@
 class QuotaListener {
   public:
     virtual ~QuotaListener() = default;
-    // Units that the waiting request costs; nothing once the request is gone.
+    // Units that the waiting request costs; nothing once it has its final response.
     virtual std::optional<double> waiting_units(RequestId id) const = 0;
     // The quota covers the request now.
     virtual void on_quota_granted(RequestId id) = 0;
--- a/src/decisions/quota/warming_up_limiter.h
+++ b/src/decisions/quota/warming_up_limiter.h
@@ -12,7 +12,8 @@
 // Not thread-safe. All calls use the clock of the engine's events.
 class WarmingUpLimiter {
   public:
-    // Adds what came in since the last call; the first call fills the store, which makes it cold.
+    // Stores the units of the idle time since next_free(); the first call fills the store, which
+    // makes the limiter cold.
     // `stable_s`: seconds for each unit once warm, above 0. `warmup_s`: seconds of warming up,
     // above 0.
     void refill(Micros now, double stable_s, double warmup_s);
