--- a/src/decisions/quota/peer_mailbox.h
+++ b/src/decisions/quota/peer_mailbox.h
@@ -2,8 +2,8 @@
 // unresponsive.
 //
 // Messages of one event to one peer travel together. Requests go out at once while they are few;
-// what comes faster than the peer's intake allows is delayed and bundled, requests with clients
-// waits for first. Grants always go at once: they are as many as requests received.
+// what comes faster than the peer's intake allows is delayed and bundled, requests with
+// waiting clients first. Grants always go at once: they are as many as requests received.
 #pragma once
 
 #include <string>
