--- a/src/core/core.h
+++ b/src/core/core.h
@@ -18,7 +18,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "decisions/attempt_rules.h"
+#include "decisions/retry/attempt_rules.h"
 #include "silverreach/interface.h"
 
 namespace silverreach::core {
--- /dev/null
+++ b/src/decisions/admission/admission_control.cpp
@@ -0,0 +1,69 @@
+#include "decisions/admission/admission_control.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace silverreach {
+namespace {
+// Time kept for the response.
+constexpr double response_margin = 1.3;      // of the expected response time
+constexpr double max_response_margin = 0.8;  // of the time left
+}  // namespace
+
+Micros AdmissionControl::latest_start(const RequestArrived& arrival) const {
+    const RequestClass& request_class = context_.settings.classes[arrival.request_class];
+    const double left_s =
+        seconds(std::min(arrival.time_remaining, request_class.latency_objective));
+    const double expected_s = context_.traffic.expected_response_s(std::max(0.0, arrival.units));
+    const double margin_s = std::min(response_margin * expected_s, max_response_margin * left_s);
+    return context_.now + micros(left_s - margin_s);
+}
+
+QuotaDecision AdmissionControl::check_quota(const RequestState& request) const {
+    const CustomerQuota& customer = *request.customer;
+    const double units = request.arrival.units;
+    const Plan* plan = quota_.plan_of(customer);
+    if (!plan || (quota_.missing_units(customer, units) <= 0 &&
+                  quota_.missing_ceiling_units(customer, units) <= 0))
+        return {};
+    if (exceeds_concurrency_quota(customer, *plan))
+        return {QuotaStatus::needs_lease, Rejection{RejectReason::concurrency_limit,
+                                                    micros(context_.traffic.mean_response_s)}};
+    if (const auto retry_after = quota_.known_shortage(customer, units))
+        return {QuotaStatus::needs_lease, Rejection{RejectReason::quota_exhausted, *retry_after}};
+    return {QuotaStatus::needs_lease, std::nullopt};
+}
+
+// This instance's share of the quota, one attempt at least.
+bool AdmissionControl::exceeds_concurrency_quota(const CustomerQuota& customer,
+                                                 const Plan& plan) const {
+    if (plan.max_concurrent_attempts <= 0) return false;
+    const double share = plan.max_concurrent_attempts * quota_.demand_share(customer);
+    return customer.attempts_in_flight >= std::max(1.0, std::round(share));
+}
+
+std::optional<Rejection> AdmissionControl::check_excess(const RequestState& request,
+                                                        const Rejection& shortage) const {
+    const CustomerQuota& customer = *request.customer;
+    if (quota_.missing_ceiling_units(customer, request.arrival.units) > 0)
+        return Rejection{RejectReason::ceiling_reached, shortage.retry_after};
+    const Plan& plan = *quota_.plan_of(customer);
+    const bool pays = plan.excess_weight_factor > plan.excess_cost_factor;
+    if (pays && overload_detector_.has_spare_capacity() && queue_.empty()) return std::nullopt;
+    return shortage;
+}
+
+Pacing AdmissionControl::pace(const RequestState& request) {
+    CustomerQuota& customer = *request.customer;
+    const Plan* plan = quota_.plan_of(customer);
+    if (!plan || !overload_detector_.overloaded() || plan->rate <= 0 || plan->burst <= 0) return {};
+    const double stable_s = 1 / (plan->rate * quota_.demand_share(customer));
+    const double warmup_s = plan->burst / plan->rate;
+    customer.limiter.refill(context_.now, stable_s, warmup_s);
+    const Micros delay = customer.limiter.next_free() - context_.now;
+    if (context_.now + delay > request.latest_start) return {delay, true};
+    customer.limiter.reserve(request.arrival.units, stable_s, warmup_s);
+    return {delay, false};
+}
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/admission/admission_control.h
@@ -0,0 +1,61 @@
+// Admission control: what the quotas and the overload mean for a request.
+//
+// A request within its quota is admitted, at a paced rate while the endpoints are overloaded. One
+// beyond its quota is rejected, or admitted as excess where that pays and there is spare capacity.
+#pragma once
+
+#include <optional>
+
+#include "decisions/admission/admission_queue.h"
+#include "decisions/admission/overload_detector.h"
+#include "decisions/decision_context.h"
+#include "decisions/quota/quota_manager.h"
+#include "decisions/request_state.h"
+
+namespace silverreach {
+
+enum class QuotaStatus {
+    covered,     // the request is within its quota
+    needs_lease  // it has to wait for a lease
+};
+struct Rejection {
+    RejectReason reason = RejectReason::quota_exhausted;
+    Micros retry_after{0};  // before it is cut to what clients heed
+};
+
+struct QuotaDecision {
+    QuotaStatus status = QuotaStatus::covered;
+    std::optional<Rejection> shortage;  // set: no lease will come
+};
+
+struct Pacing {
+    Micros delay{0};        // until the request may be sent
+    bool too_late = false;  // the delay ends after the request's latest start; nothing was reserved
+};
+
+class AdmissionControl {
+  public:
+    AdmissionControl(DecisionContext& context, QuotaManager& quota,
+                     const OverloadDetector& overload_detector, const AdmissionQueue& queue)
+        : context_(context), quota_(quota), overload_detector_(overload_detector), queue_(queue) {}
+
+    // The latest time at which an attempt is expected to meet the latency objective and the
+    // client's deadline.
+    Micros latest_start(const RequestArrived& arrival) const;
+    QuotaDecision check_quota(const RequestState& request) const;
+    // For a request beyond its quota: nothing where it is admitted as excess, else the rejection.
+    std::optional<Rejection> check_excess(const RequestState& request,
+                                          const Rejection& shortage) const;
+    // The warming-up limiter binds while the endpoints are overloaded.
+    Pacing pace(const RequestState& request);
+
+  private:
+    bool exceeds_concurrency_quota(const CustomerQuota& customer, const Plan& plan) const;
+
+    DecisionContext& context_;
+    QuotaManager& quota_;
+    const OverloadDetector& overload_detector_;
+    const AdmissionQueue& queue_;
+};
+
+}  // namespace silverreach
--- a/src/decisions/decision_context.h
+++ b/src/decisions/decision_context.h
@@ -3,6 +3,7 @@
 #pragma once
 
 #include <algorithm>
+#include <utility>
 #include <vector>
 
 #include "decisions/stall_detector.h"
@@ -11,10 +12,22 @@
 
 namespace silverreach {
 
-// Means over this instance's recent traffic.
+// Running means over this instance's recent traffic.
 struct TrafficStatistics {
+    static constexpr double sample_weight = 0.05;  // of one sample in each mean
+
     double mean_response_s = 0;  // seconds from sending an attempt to its success; 0: none seen yet
     double mean_units = 1;       // cost of a request in units
+
+    void add_response(double response_s) {
+        const double weight = mean_response_s > 0 ? sample_weight : 1;
+        mean_response_s += weight * (response_s - mean_response_s);
+    }
+    void add_attempt(double units) { mean_units += sample_weight * (units - mean_units); }
+    // Half of a response time counts as waiting, the other half as work that grows with the units.
+    double expected_response_s(double units) const {
+        return mean_response_s * (1 + units / std::max(mean_units, 1e-3)) / 2;
+    }
 };
 
 // Owned by the engine; the parts hold a reference. Single-threaded like the engine.
@@ -28,7 +41,11 @@
         now = event_time;
         actions_ = &output;
     }
-    void emit(Action action) { actions_->push_back(std::move(action)); }
+    // `action`: one of the types of Action.
+    template <typename SpecificAction>
+    void emit(SpecificAction&& action) {
+        actions_->emplace_back(std::forward<SpecificAction>(action));
+    }
     // Starts a timer that comes back as TimerFired after `delay`, 1 us at least.
     void start_timer(Micros delay, TimerKind kind, std::uint64_t subject) {
         emit(SetTimer{std::max(delay, Micros{1}), encode_timer_token(kind, subject)});
--- /dev/null
+++ b/src/decisions/load_balancing/attempt_assessment.cpp
@@ -0,0 +1,28 @@
+#include "decisions/load_balancing/attempt_assessment.h"
+
+#include "decisions/response_speed.h"
+
+namespace silverreach {
+
+// A timeout is judged by its length where the endpoint responded to others, and is the endpoint's
+// failure only where it did not: clients with short deadlines and costly requests must not eject
+// healthy endpoints.
+AttemptAssessment assess(const AttemptEnded& ended, const Endpoint& endpoint,
+                         const DecisionContext& context, double latency_objective_s) {
+    const bool timed_out = ended.outcome == Outcome::timeout;
+    const bool was_fast = is_fast(seconds(ended.duration), latency_objective_s);
+    const Micros last_response_age = context.now - endpoint.last_response;
+    const bool slow_timeout = timed_out && last_response_age < ended.duration && !was_fast;
+    const bool fleet_fast = is_fast(context.traffic.mean_response_s, latency_objective_s);
+
+    AttemptAssessment assessment;
+    assessment.success = ended.outcome == Outcome::success;
+    assessment.overload_sign = !fleet_fast && (ended.outcome == Outcome::rejected || slow_timeout);
+    assessment.lowers_limit = assessment.overload_sign || (assessment.success && !was_fast);
+    assessment.slow =
+        ended.outcome == Outcome::rejected || is_slow(seconds(ended.duration), latency_objective_s);
+    assessment.unresponsive = timed_out && last_response_age > ended.duration;
+    return assessment;
+}
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/load_balancing/concurrency_limiter.cpp
@@ -0,0 +1,26 @@
+#include "decisions/load_balancing/concurrency_limiter.h"
+
+#include "decisions/load_balancing/adaptive_limit.h"
+
+namespace silverreach {
+namespace {
+constexpr double min_endpoint_limit = 2;   // attempts
+constexpr double near_limit_attempts = 2;  // below the limit
+}  // namespace
+
+double ConcurrencyLimiter::limit(const Endpoint& endpoint) const {
+    const double responses = endpoint.recent_responses(context_.now);
+    const double trust = responses / (responses + fleet_prior_responses);
+    return trust * endpoint.concurrency_limit + (1 - trust) * window_.fleet_limit();
+}
+
+void ConcurrencyLimiter::on_outcome(Endpoint& endpoint, const AttemptAssessment& assessment) {
+    double& own_limit = endpoint.concurrency_limit;
+    if (assessment.lowers_limit)
+        own_limit = decreased_limit(own_limit, min_endpoint_limit);
+    else if (assessment.success &&
+             estimator_.estimate(endpoint) + near_limit_attempts > limit(endpoint))
+        own_limit = increased_limit(own_limit);
+}
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/load_balancing/concurrency_limiter.h
@@ -0,0 +1,31 @@
+// The concurrency limit of an endpoint: attempts of all instances that it may have in flight.
+#pragma once
+
+#include "decisions/decision_context.h"
+#include "decisions/load_balancing/attempt_assessment.h"
+#include "decisions/load_balancing/in_flight_estimator.h"
+#include "decisions/load_balancing/in_flight_window.h"
+
+namespace silverreach {
+
+class ConcurrencyLimiter {
+  public:
+    ConcurrencyLimiter(DecisionContext& context, const InFlightEstimator& estimator,
+                       const InFlightWindow& window)
+        : context_(context), estimator_(estimator), window_(window) {}
+
+    // The endpoint's own limit as far as its responses are known, else the fleet's.
+    double limit(const Endpoint& endpoint) const;
+    bool at_limit(const Endpoint& endpoint) const {
+        return estimator_.in_flight(endpoint) >= limit(endpoint);
+    }
+    // Learns the endpoint's limit from the outcome of an attempt.
+    void on_outcome(Endpoint& endpoint, const AttemptAssessment& assessment);
+
+  private:
+    DecisionContext& context_;
+    const InFlightEstimator& estimator_;
+    const InFlightWindow& window_;
+};
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/load_balancing/endpoint_selector.cpp
@@ -0,0 +1,115 @@
+#include "decisions/load_balancing/endpoint_selector.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "decisions/retry/repeat_rules.h"
+
+namespace silverreach {
+namespace {
+constexpr std::size_t max_compared_endpoints = 12;  // for one choice
+// Factors on the expected cost.
+constexpr double cost_jitter = 0.1;  // instances must not all choose the same endpoint
+constexpr double last_endpoint_cost = 4;
+constexpr double avoided_kind_cost = 16;
+constexpr double cross_zone_cost_scale = 5;
+
+// The two cheapest endpoints offered so far.
+class CheapestTwo {
+  public:
+    void offer(Endpoint& endpoint, double cost) {
+        if (!best_ || cost < best_cost_) {
+            second_ = best_;
+            second_cost_ = best_cost_;
+            best_ = &endpoint;
+            best_cost_ = cost;
+        } else if (!second_ || cost < second_cost_) {
+            second_ = &endpoint;
+            second_cost_ = cost;
+        }
+    }
+    CandidateList candidates() const { return {best_, second_}; }
+
+  private:
+    Endpoint* best_ = nullptr;
+    Endpoint* second_ = nullptr;
+    double best_cost_ = 0;
+    double second_cost_ = 0;
+};
+}  // namespace
+
+EndpointSelector::EndpointSelector(DecisionContext& context, RandomSource& random,
+                                   EndpointTable& endpoints, SlowStart& slow_start,
+                                   const InFlightEstimator& estimator,
+                                   const ConcurrencyLimiter& limiter,
+                                   const OutlierDetector& outliers,
+                                   const HealthChecker& health_checker)
+    : context_(context),
+      random_(random),
+      endpoints_(endpoints),
+      slow_start_(slow_start),
+      estimator_(estimator),
+      limiter_(limiter),
+      outliers_(outliers),
+      health_checker_(health_checker) {}
+
+CandidateList EndpointSelector::select_candidates(const RequestState& request) {
+    std::vector<Endpoint*>& order = endpoints_.order();
+    const std::size_t preferred = std::min(preferred_endpoints, order.size());
+    CheapestTwo cheapest;
+    std::size_t compared = 0;
+    for (std::size_t i = 0; i < order.size() && compared < max_compared_endpoints; ++i) {
+        if (i < preferred) std::swap(order[i], order[i + random_.index(preferred - i)]);
+        Endpoint& endpoint = *order[i];
+        if (!is_eligible(request, endpoint)) continue;
+        ++compared;
+        const bool warming_up = endpoints_.warm_count() > 0 &&
+                                capacity_share(endpoint, context_.settings, context_.now) < 1;
+        if (!warming_up)
+            cheapest.offer(endpoint, request_cost(request, endpoint));
+        else if (slow_start_.admit_during_slow_start(endpoint, request.arrival.units))
+            return {&endpoint, nullptr};
+    }
+    return cheapest.candidates();
+}
+
+bool EndpointSelector::is_eligible(const RequestState& request, const Endpoint& endpoint) const {
+    if (endpoint.entry.status != EndpointStatus::available || outliers_.is_ejected(endpoint) ||
+        !may_run_at(context_, request, endpoint))
+        return false;
+    if (health_checker_.has_sufficient_samples(endpoint) && limiter_.at_limit(endpoint))
+        return false;
+    return !outliers_.avoids_class(endpoint, request.arrival.request_class);
+}
+
+double EndpointSelector::expected_cost(const Endpoint& endpoint) const {
+    const double responses = endpoint.recent_responses(context_.now);
+    const double fleet_response_s = std::max(context_.traffic.mean_response_s, 1e-3);
+    const double response_s =
+        (responses * endpoint.mean_response_s + fleet_prior_responses * fleet_response_s) /
+        (responses + fleet_prior_responses);
+    return (estimator_.in_flight(endpoint) + 1) * response_s /
+           (std::max(endpoint.entry.weight, 1e-3) *
+            capacity_share(endpoint, context_.settings, context_.now));
+}
+
+double EndpointSelector::request_cost(const RequestState& request, const Endpoint& endpoint) {
+    double cost = expected_cost(endpoint) * (1 - cost_jitter / 2 + cost_jitter * random_.uniform());
+    if (endpoint.entry.zone != context_.settings.zone)
+        cost *= 1 + cross_zone_cost_scale * context_.settings.cross_zone_cost;
+    if (endpoint.entry.id == request.last_endpoint) cost *= last_endpoint_cost;
+    if (outliers_.avoids_kind(endpoint, request.kind)) cost *= avoided_kind_cost;
+    return cost;
+}
+
+Endpoint* EndpointSelector::best_checked(const RequestState& request) const {
+    Endpoint* best = nullptr;
+    for (Endpoint* endpoint : request.candidates) {
+        if (!health_checker_.has_capacity(*endpoint) || !may_run_at(context_, request, *endpoint))
+            continue;
+        if (!best || expected_cost(*endpoint) < expected_cost(*best)) best = endpoint;
+    }
+    return best;
+}
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/load_balancing/in_flight_estimator.h
@@ -0,0 +1,38 @@
+// How many requests an endpoint has in flight from all instances: by its load report while that is
+// fresh, else by an estimate from this instance's own attempts.
+#pragma once
+
+#include "decisions/decision_context.h"
+#include "decisions/load_balancing/endpoint.h"
+#include "decisions/load_balancing/endpoint_table.h"
+
+namespace silverreach {
+
+class InFlightEstimator {
+  public:
+    static constexpr Micros load_report_lifetime{250'000};
+
+    InFlightEstimator(DecisionContext& context, const EndpointTable& endpoints)
+        : context_(context), endpoints_(endpoints) {}
+
+    // Requests at the endpoint, by report or estimate.
+    double in_flight(const Endpoint& endpoint) const;
+    // Attempts of all instances at the endpoint, without regard to its load reports.
+    double estimate(const Endpoint& endpoint) const;
+    bool has_fresh_report(const Endpoint& endpoint) const {
+        return endpoint.reported_at > Micros{0} &&
+               context_.now - endpoint.reported_at < load_report_lifetime;
+    }
+
+    void on_load_report(Endpoint& endpoint, const LoadReport& report);
+    void on_attempt_sent(Endpoint& endpoint);
+    // Of an attempt at any endpoint.
+    void on_attempt_ended(Micros duration);
+
+  private:
+    DecisionContext& context_;
+    const EndpointTable& endpoints_;
+    DecayingCounter attempt_time_s_;  // seconds that this instance's attempts took
+};
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/load_balancing/in_flight_window.cpp
@@ -0,0 +1,27 @@
+#include "decisions/load_balancing/in_flight_window.h"
+
+#include <cmath>
+
+#include "decisions/load_balancing/adaptive_limit.h"
+
+namespace silverreach {
+namespace {
+constexpr double min_fleet_limit = 0.2;  // attempts
+constexpr double slack_deviations = 2;   // standard deviations of the own attempts in flight
+}  // namespace
+
+// This instance's share of what the fleet takes, and the random deviation that a share has.
+double InFlightWindow::size() const {
+    const double share =
+        fleet_limit_ * static_cast<double>(endpoints_.size()) / context_.settings.instance_count;
+    return share + slack_deviations * std::sqrt(share);
+}
+
+void InFlightWindow::on_outcome(const AttemptAssessment& assessment) {
+    if (assessment.lowers_limit)
+        fleet_limit_ = decreased_limit(fleet_limit_, min_fleet_limit);
+    else if (assessment.success && 2 * (attempts_in_flight_ + 1) > size())
+        fleet_limit_ = increased_limit(fleet_limit_);
+}
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/load_balancing/in_flight_window.h
@@ -0,0 +1,37 @@
+// The in-flight window: how many attempts this instance may have in flight at endpoints of which it
+// sees few responses. Hundreds of instances that each see no queue would overload them together.
+#pragma once
+
+#include "decisions/decision_context.h"
+#include "decisions/load_balancing/attempt_assessment.h"
+#include "decisions/load_balancing/endpoint_table.h"
+#include "decisions/random_source.h"
+
+namespace silverreach {
+
+class InFlightWindow {
+  public:
+    InFlightWindow(DecisionContext& context, const EndpointTable& endpoints, RandomSource& random)
+        : context_(context), endpoints_(endpoints), random_(random) {}
+
+    // Draws where less than one attempt is left: a fraction of an attempt is a chance.
+    bool is_open() { return attempts_in_flight_ + random_.uniform() < size(); }
+    // Attempts in flight at an average endpoint that the fleet takes, by all instances.
+    double fleet_limit() const { return fleet_limit_; }
+
+    void on_attempt_sent() { ++attempts_in_flight_; }
+    void on_attempt_ended() { --attempts_in_flight_; }
+    // Learns from the outcome of an attempt at any endpoint.
+    void on_outcome(const AttemptAssessment& assessment);
+
+  private:
+    double size() const;
+
+    DecisionContext& context_;
+    const EndpointTable& endpoints_;
+    RandomSource& random_;
+    double fleet_limit_ = 2;
+    int attempts_in_flight_ = 0;  // of this instance, at all endpoints
+};
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/load_balancing/load_balancer.h
@@ -0,0 +1,82 @@
+// Load balancing over the endpoints: which one takes a request, and what the outcomes of attempts
+// and health checks say about each. It keeps the endpoints and the classes that decide about them.
+#pragma once
+
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "decisions/decision_context.h"
+#include "decisions/load_balancing/attempt_assessment.h"
+#include "decisions/load_balancing/endpoint_selector.h"
+#include "decisions/load_balancing/endpoint_table.h"
+#include "decisions/load_balancing/health_checker.h"
+#include "decisions/load_balancing/in_flight_window.h"
+#include "decisions/load_balancing/outlier_detector.h"
+#include "decisions/load_balancing/slow_start.h"
+#include "decisions/request_state.h"
+
+namespace silverreach {
+
+enum class PlacementStatus {
+    no_capacity,             // no endpoint can take the request now
+    endpoint_chosen,         // `endpoint` takes it
+    health_checks_in_flight  // its candidates are being checked
+};
+struct Placement {
+    PlacementStatus status = PlacementStatus::no_capacity;
+    Endpoint* endpoint = nullptr;
+};
+
+class LoadBalancer {
+  public:
+    LoadBalancer(DecisionContext& context, RandomSource& random);
+
+    // Endpoint pointers from before are invalid after it.
+    void on_endpoints_changed(const EndpointsChanged& change) { endpoints_.update(change); }
+    // Drops what is no longer needed of endpoints that left the list long ago; counts again which
+    // endpoints are warm.
+    void remove_idle();
+    // Null where the endpoint is not known.
+    Endpoint* find(const std::string& endpoint) { return endpoints_.find(endpoint); }
+    std::size_t endpoint_count() const { return endpoints_.size(); }
+    OutlierDetector& outlier_detector() { return outliers_; }
+
+    // Chooses the endpoint for an attempt, or starts health checks of the request's candidates.
+    Placement place(RequestState& request);
+    // The best candidate after health checks; null: none can take the request.
+    Endpoint* best_checked(const RequestState& request) const {
+        return selector_.best_checked(request);
+    }
+    // Whether the request need not wait for its other candidate, given that the endpoint's health
+    // check succeeded.
+    bool is_idle_match(const RequestState& request, const Endpoint& endpoint) const;
+
+    void on_attempt_sent(Endpoint& endpoint, const RequestState& request);
+    // `request`: null where it has its final response already. Returns nothing while this process
+    // is stalled, when outcomes say nothing.
+    std::optional<AttemptAssessment> on_attempt_ended(Endpoint& endpoint,
+                                                      const RequestState* request,
+                                                      const AttemptEnded& ended);
+    // Returns the requests that waited for it.
+    std::vector<RequestId> on_health_check_ended(Endpoint& endpoint,
+                                                 const HealthCheckEnded& ended) {
+        return health_checker_.on_ended(endpoint, ended);
+    }
+
+  private:
+    AttemptAssessment record_outcome(Endpoint& endpoint, const AttemptEnded& ended,
+                                     double latency_objective_s);
+
+    DecisionContext& context_;
+    EndpointTable endpoints_;
+    SlowStart slow_start_;
+    InFlightEstimator estimator_;
+    InFlightWindow window_;
+    ConcurrencyLimiter limiter_;
+    OutlierDetector outliers_;
+    HealthChecker health_checker_;
+    EndpointSelector selector_;
+};
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/load_balancing/outlier_detector.cpp
@@ -0,0 +1,62 @@
+#include "decisions/load_balancing/outlier_detector.h"
+
+#include <algorithm>
+
+namespace silverreach {
+namespace {
+using namespace std::chrono_literals;
+
+constexpr int consecutive_failures_to_eject = 3;
+constexpr Micros base_ejection_time = 500ms;
+constexpr Micros max_ejection_time = 8s;
+constexpr int max_ejection_doublings = 4;
+constexpr Micros failed_health_check_pause = 250ms;
+constexpr Micros avoidance_time = 20s;
+constexpr int overdue_to_avoid_class = 2;  // in a row
+}  // namespace
+
+void OutlierDetector::on_outcome(Endpoint& endpoint, Outcome outcome,
+                                 const AttemptAssessment& assessment) {
+    if (assessment.success) {
+        endpoint.failures = 0;
+        endpoint.ejections = 0;
+    }
+    // A reset may concern one connection only, a refused connection concerns the endpoint.
+    if (outcome == Outcome::error || outcome == Outcome::reset || assessment.unresponsive)
+        add_failures(endpoint, 1);
+    if (outcome == Outcome::connect_failed) eject(endpoint);
+}
+
+void OutlierDetector::on_health_check_failed(Endpoint& endpoint) {
+    endpoint.ejected_until =
+        std::max(endpoint.ejected_until, context_.now + failed_health_check_pause);
+}
+
+void OutlierDetector::eject(Endpoint& endpoint) {
+    add_failures(endpoint, consecutive_failures_to_eject);
+}
+
+void OutlierDetector::add_failures(Endpoint& endpoint, int count) {
+    endpoint.failures += count;
+    if (endpoint.failures < consecutive_failures_to_eject || is_ejected(endpoint)) return;
+    const int doublings = std::min(endpoint.ejections, max_ejection_doublings);
+    endpoint.ejected_until =
+        context_.now + std::min(max_ejection_time, base_ejection_time * (1 << doublings));
+    ++endpoint.ejections;
+}
+
+void OutlierDetector::on_rejected(Endpoint& endpoint, int kind) {
+    endpoint.avoided_kinds_until[kind] = context_.now + avoidance_time;
+}
+
+void OutlierDetector::on_success(Endpoint& endpoint, int request_class) {
+    const auto it = endpoint.overdue_in_row.find(request_class);
+    if (it != endpoint.overdue_in_row.end()) it->second = 0;
+}
+
+void OutlierDetector::on_class_overdue(Endpoint& endpoint, int request_class) {
+    if (++endpoint.overdue_in_row[request_class] < overdue_to_avoid_class) return;
+    endpoint.avoided_classes_until[request_class] = context_.now + avoidance_time;
+}
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/load_balancing/outlier_detector.h
@@ -0,0 +1,48 @@
+// Outlier detection. An endpoint is healthy or ejected; an ejection ends by its time, and doubles
+// with each further one until an attempt succeeds. A healthy endpoint may be avoided for one kind
+// of request only.
+#pragma once
+
+#include "decisions/decision_context.h"
+#include "decisions/load_balancing/attempt_assessment.h"
+#include "decisions/load_balancing/endpoint.h"
+
+namespace silverreach {
+
+class OutlierDetector {
+  public:
+    explicit OutlierDetector(DecisionContext& context) : context_(context) {}
+
+    bool is_ejected(const Endpoint& endpoint) const {
+        return context_.now < endpoint.ejected_until;
+    }
+    // True for kinds of request that the endpoint rejected lately.
+    bool avoids_kind(const Endpoint& endpoint, int kind) const {
+        return is_avoided(endpoint.avoided_kinds_until, kind);
+    }
+    // True for request classes that the endpoint lately left unanswered.
+    bool avoids_class(const Endpoint& endpoint, int request_class) const {
+        return is_avoided(endpoint.avoided_classes_until, request_class);
+    }
+
+    void on_outcome(Endpoint& endpoint, Outcome outcome, const AttemptAssessment& assessment);
+    // A health check failed: no attempt goes to the endpoint for a moment.
+    void on_health_check_failed(Endpoint& endpoint);
+    // Nothing came from the endpoint for too long.
+    void eject(Endpoint& endpoint);
+    void on_rejected(Endpoint& endpoint, int kind);
+    void on_success(Endpoint& endpoint, int request_class);
+    // An attempt of this class is far overdue while the endpoint responds to others.
+    void on_class_overdue(Endpoint& endpoint, int request_class);
+
+  private:
+    bool is_avoided(const std::map<int, Micros>& avoided_until, int key) const {
+        const auto it = avoided_until.find(key);
+        return it != avoided_until.end() && context_.now < it->second;
+    }
+    void add_failures(Endpoint& endpoint, int count);
+
+    DecisionContext& context_;
+};
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/load_balancing/slow_start.cpp
@@ -0,0 +1,40 @@
+#include "decisions/load_balancing/slow_start.h"
+
+#include <utility>
+
+#include "decisions/load_balancing/endpoint_table.h"
+
+namespace silverreach {
+namespace {
+using namespace std::chrono_literals;
+
+constexpr double warm_rate_memory_s = 30;
+constexpr double warm_time_prior_s = 5;  // keeps the rate low until warm time was seen
+// Keeps well below the rate that would overload the endpoint: requests may cost more than their
+// units say.
+constexpr double slow_start_caution = 0.5;
+constexpr Micros max_credited_time = 5s;  // since the last decision or attempt
+}  // namespace
+
+bool SlowStart::admit_during_slow_start(Endpoint& endpoint, double units) {
+    const double rate = slow_start_caution * context_.settings.overload_factor *
+                        capacity_share(endpoint, context_.settings, context_.now) * warm_rate_;
+    const Micros last = std::exchange(endpoint.last_considered, context_.now);
+    const Micros elapsed = std::min(context_.now - last, max_credited_time);
+    return random_.uniform() * std::max(units, 1e-3) < rate * seconds(elapsed);
+}
+
+// The rate is a mean over the time for which endpoints were warm: where most of them are in slow
+// start, the load of the few warm ones must not set it.
+void SlowStart::on_attempt_sent(const Endpoint& endpoint, double units, std::size_t warm_count) {
+    const Micros now = context_.now;
+    const auto used = static_cast<double>(std::min(warm_count, preferred_endpoints));
+    const Micros elapsed = std::min(now - std::exchange(last_sent_, now), max_credited_time);
+    warm_time_s_.add(used * seconds(elapsed), now, warm_rate_memory_s);
+    if (capacity_share(endpoint, context_.settings, now) >= 1)
+        warm_units_.add(units, now, warm_rate_memory_s);
+    const double time_s = warm_time_s_.value(now, warm_rate_memory_s) + warm_time_prior_s;
+    warm_rate_ = warm_units_.value(now, warm_rate_memory_s) / time_s;
+}
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/load_balancing/slow_start.h
@@ -0,0 +1,45 @@
+// Slow start: an endpoint that has started lately gets a share of the traffic that grows with its
+// age.
+#pragma once
+
+#include <algorithm>
+#include <cstddef>
+
+#include "decisions/decision_context.h"
+#include "decisions/load_balancing/endpoint.h"
+#include "decisions/random_source.h"
+
+namespace silverreach {
+
+// Share of its full capacity that the endpoint surely has at its age; 1 once it is warm.
+inline double capacity_share(const Endpoint& endpoint, const Settings& settings, Micros now) {
+    if (endpoint.slow_start_began <= Micros{0} || settings.slow_start_window <= Micros{0}) return 1;
+    const double age =
+        seconds(now - endpoint.slow_start_began) / seconds(settings.slow_start_window);
+    if (age >= 1) return 1;
+    const double initial = settings.initial_capacity_share;
+    return initial + (1 - initial) * std::max(0.0, age);
+}
+
+class SlowStart {
+  public:
+    SlowStart(DecisionContext& context, RandomSource& random)
+        : context_(context), random_(random) {}
+
+    // Whether an endpoint in slow start may take a request of `units` now. It gets the rate of a
+    // warm endpoint, scaled to the capacity it has, as a chance: the rate holds in sum over any
+    // number of instances and for retries too.
+    bool admit_during_slow_start(Endpoint& endpoint, double units);
+    // `warm_count`: warm endpoints in the list.
+    void on_attempt_sent(const Endpoint& endpoint, double units, std::size_t warm_count);
+
+  private:
+    DecisionContext& context_;
+    RandomSource& random_;
+    Micros last_sent_{0};
+    DecayingCounter warm_units_;   // sent to warm endpoints
+    DecayingCounter warm_time_s_;  // seconds for which endpoints were warm, summed over them
+    double warm_rate_ = 0;         // units a second that a warm endpoint gets from this instance
+};
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/request_state.h
@@ -0,0 +1,69 @@
+// State of one request between its arrival and its final response.
+//
+// States: waiting for a lease or for pacing, queued, checking the health of its candidates, in
+// flight. A hedged request may be queued or check candidates while an attempt is in flight.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <string>
+#include <unordered_map>
+
+#include "decisions/load_balancing/candidate_list.h"
+#include "decisions/quota/customer_quota.h"
+#include "silverreach/interface.h"
+
+namespace silverreach {
+
+// The first attempt of a request that its endpoint may have executed.
+struct PossibleRun {
+    Micros sent_at{0};
+    std::string zone;  // of the endpoint
+    std::int64_t cell = 0;
+};
+
+struct RequestState {
+    RequestArrived arrival;  // with units of 0 at least
+    CustomerQuota* customer = nullptr;
+    int kind = 0;            // request class and plan in one number
+    Micros deadline{0};      // end of the client's time
+    Micros latest_start{0};  // an attempt sent later is expected to miss the objective
+
+    Reservation reservation;
+    bool within_quota = true;  // false: admitted as excess
+
+    bool sent = false;             // at least one attempt was sent
+    bool queued = false;           // waits in the admission queue
+    bool checking_health = false;  // waits for health checks of its candidates
+    int attempts = 0;
+    int attempts_in_flight = 0;
+    Micros last_sent{0};
+    std::string last_endpoint;
+
+    bool may_have_run = false;
+    PossibleRun first_possible_run;  // valid where may_have_run
+
+    CandidateList candidates;
+    int health_check_rounds = 0;
+    int pending_health_checks = 0;
+
+    void on_attempt_sent(const std::string& endpoint, Micros now) {
+        sent = true;
+        queued = false;
+        checking_health = false;
+        health_check_rounds = 0;
+        ++attempts;
+        ++attempts_in_flight;
+        last_sent = now;
+        last_endpoint = endpoint;
+    }
+};
+
+// Endpoints may reject one kind of request and serve the others. `plan_count`: of the settings.
+inline int request_kind(const RequestArrived& arrival, std::size_t plan_count) {
+    return arrival.request_class * static_cast<int>(plan_count + 1) + arrival.plan + 1;
+}
+
+using RequestTable = std::unordered_map<RequestId, RequestState>;
+
+}  // namespace silverreach
--- a/src/decisions/attempt_rules.cpp
+++ b/src/decisions/retry/attempt_rules.cpp
@@ -1,8 +1,8 @@
-#include "decisions/attempt_rules.h"
+#include "decisions/retry/attempt_rules.h"
 
 #include <numeric>
 
-#include "decisions/deduplication.h"
+#include "decisions/retry/repeat_rules.h"
 
 namespace silverreach::rules {
 
@@ -87,15 +87,10 @@
     if (!earlier.may_have_run()) return std::nullopt;
     const RequestClass& request_class =
         settings_.classes.at(static_cast<std::size_t>(request.request_class));
-    if (request_class.idempotency == Idempotency::idempotent) return std::nullopt;
-    if (request_class.idempotency == Idempotency::non_idempotent) return BlockReason::may_have_run;
-    const Micros first = earlier.sent_at > Micros(0) ? earlier.sent_at : earlier.chosen_at;
-    if (!deduplication_window_open(request_class, first, now))
-        return BlockReason::deduplication_window_closed;
-    if (!in_same_deduplication_scope(request_class.deduplication_scope, earlier.zone, earlier.cell, next.zone,
-                           next.cell))
-        return BlockReason::outside_deduplication_scope;
-    return std::nullopt;
+    const Micros earlier_sent_at =
+        earlier.sent_at > Micros{0} ? earlier.sent_at : earlier.chosen_at;
+    return check_repeat_at(request_class, earlier_sent_at, {earlier.zone, earlier.cell},
+                           {next.zone, next.cell}, now);
 }
 
 }  // namespace silverreach::rules
--- a/src/decisions/attempt_rules.h
+++ b/src/decisions/retry/attempt_rules.h
@@ -11,26 +11,11 @@
 #include <unordered_map>
 #include <vector>
 
+#include "decisions/retry/block_reason.h"
 #include "silverreach/interface.h"
 
 namespace silverreach::rules {
 
-// Why something may not happen now.
-enum class BlockReason {
-    answered,                     // the request has its final answer
-    client_disconnected,          // nobody waits for it
-    deadline_exceeded,            // its client's time is over
-    endpoint_unavailable,         // the host drains, is gone, or was never listed
-    max_attempts_reached,         // as many attempts as the settings allow were made
-    attempt_in_flight,            // another attempt is out, and the settings allow no second copy
-    may_have_run,                 // an unsafe request whose earlier attempt may have run
-    deduplication_window_closed,  // hosts may have forgotten the earlier attempt
-    outside_deduplication_scope,  // the host does not drop repeats of the earlier attempt
-    requests_pending              // a connection that owes answers
-};
-constexpr std::size_t block_reason_count = 10;
-std::string_view to_string(BlockReason reason);
-
 // Counts by reason.
 class BlockCounters {
   public:
--- /dev/null
+++ b/src/decisions/retry/retry_budget.h
@@ -0,0 +1,20 @@
+// Limits retries to a share of the first attempts, so that they cannot multiply an overload.
+#pragma once
+
+#include "decisions/decaying_counter.h"
+#include "silverreach/interface.h"
+
+namespace silverreach {
+
+class RetryBudget {
+  public:
+    void on_first_attempt(Micros now);
+    // Spends one retry; false: the budget does not allow it.
+    bool try_spend(Micros now);
+
+  private:
+    DecayingCounter first_attempts_;
+    DecayingCounter retries_;
+};
+
+}  // namespace silverreach
--- /dev/null
+++ b/src/decisions/retry/retry_policy.h
@@ -0,0 +1,38 @@
+// Whether a request gets a further attempt, and whether its client may be invited to try again.
+#pragma once
+
+#include "decisions/decision_context.h"
+#include "decisions/load_balancing/endpoint.h"
+#include "decisions/request_state.h"
+#include "decisions/retry/retry_budget.h"
+
+namespace silverreach {
+
+class RetryPolicy {
+  public:
+    explicit RetryPolicy(DecisionContext& context) : context_(context) {}
+
+    // Call it before the request's state takes in the attempt.
+    void on_attempt_sent(const RequestState& request) {
+        if (!request.sent) budget_.on_first_attempt(context_.now);
+    }
+    // Notes whether the attempt may have run. `endpoint`: null where it is no longer known.
+    void on_attempt_failed(RequestState& request, Outcome outcome, const Endpoint* endpoint) const;
+
+    // Whether a request without an attempt in flight is retried. Spends from the budget.
+    bool may_retry(const RequestState& request);
+    // Whether a hedged request may be sent now. Spends from the budget.
+    bool may_hedge() { return budget_.try_spend(context_.now); }
+    // Whether a repeat by the client does no harm.
+    bool client_may_repeat(const RequestState& request) const;
+
+  private:
+    const RequestClass& class_of(const RequestState& request) const {
+        return context_.settings.classes[request.arrival.request_class];
+    }
+
+    DecisionContext& context_;
+    RetryBudget budget_;
+};
+
+}  // namespace silverreach
--- a/tests/decisions/attempt_rules_test.cpp
+++ b/tests/decisions/attempt_rules_test.cpp
@@ -1,5 +1,5 @@
 // The rules of a request: each reason for which an attempt may not begin, or not go out any more.
-#include "decisions/attempt_rules.h"
+#include "decisions/retry/attempt_rules.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/decisions/slow_start_tracker_test.cpp
+++ b/tests/decisions/slow_start_tracker_test.cpp
@@ -1,5 +1,5 @@
 // When a slow start began, by our clock and by what was told.
-#include "decisions/slow_start_tracker.h"
+#include "decisions/load_balancing/slow_start_tracker.h"
 
 #include <gtest/gtest.h>
 
