--- a/src/decisions/load_balancing/health_checker.h
+++ b/src/decisions/load_balancing/health_checker.h
@@ -18,8 +18,8 @@
     static constexpr double sufficient_responses = 10;  // recent ones, that make a check needless
     static constexpr int max_rounds = 2;                // of checks for one request
 
-    HealthChecker(DecisionContext& context, InFlightEstimator& estimator,
-                  const ConcurrencyLimiter& limiter, OutlierDetector& outliers)
+    HealthChecker(DecisionContext& context, const InFlightEstimator& estimator,
+                  const ConcurrencyLimiter& limiter, const OutlierDetector& outliers)
         : context_(context), estimator_(estimator), limiter_(limiter), outliers_(outliers) {}
 
     // Whether the endpoint's own statistics suffice to send to it without a check.
@@ -39,9 +39,9 @@
 
   private:
     DecisionContext& context_;
-    InFlightEstimator& estimator_;
+    const InFlightEstimator& estimator_;
     const ConcurrencyLimiter& limiter_;
-    OutlierDetector& outliers_;
+    const OutlierDetector& outliers_;
 };
 
 }  // namespace silverreach
--- a/src/decisions/load_balancing/in_flight_estimator.cpp
+++ b/src/decisions/load_balancing/in_flight_estimator.cpp
@@ -29,7 +29,7 @@
     return (1 - age) * endpoint.reported_in_flight + age * estimate(endpoint);
 }
 
-void InFlightEstimator::on_load_report(Endpoint& endpoint, const LoadReport& report) {
+void InFlightEstimator::on_load_report(Endpoint& endpoint, const LoadReport& report) const {
     endpoint.reported_at = context_.now;
     endpoint.reports_in_flight = report.in_flight_requests >= 0;
     // An endpoint that reports nothing counts as idle: the first one to respond is taken.
--- a/src/decisions/load_balancing/in_flight_estimator.h
+++ b/src/decisions/load_balancing/in_flight_estimator.h
@@ -24,7 +24,7 @@
                context_.now - endpoint.reported_at < load_report_lifetime;
     }
 
-    void on_load_report(Endpoint& endpoint, const LoadReport& report);
+    void on_load_report(Endpoint& endpoint, const LoadReport& report) const;
     void on_attempt_sent(Endpoint& endpoint);
     // Of an attempt at any endpoint.
     void on_attempt_ended(Micros duration);
--- a/src/decisions/load_balancing/load_balancer.h
+++ b/src/decisions/load_balancing/load_balancer.h
@@ -40,7 +40,7 @@
     // Null where the endpoint is not known.
     Endpoint* find(const std::string& endpoint) { return endpoints_.find(endpoint); }
     std::size_t endpoint_count() const { return endpoints_.size(); }
-    OutlierDetector& outlier_detector() { return outliers_; }
+    const OutlierDetector& outlier_detector() const { return outliers_; }
 
     // Chooses the endpoint for an attempt, or starts health checks of the request's candidates.
     Placement place(RequestState& request);
--- a/src/decisions/load_balancing/outlier_detector.cpp
+++ b/src/decisions/load_balancing/outlier_detector.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 void OutlierDetector::on_outcome(Endpoint& endpoint, Outcome outcome,
-                                 const AttemptAssessment& assessment) {
+                                 const AttemptAssessment& assessment) const {
     if (assessment.success) {
         endpoint.failures = 0;
         endpoint.ejections = 0;
@@ -27,16 +27,16 @@
     if (outcome == Outcome::connect_failed) eject(endpoint);
 }
 
-void OutlierDetector::on_health_check_failed(Endpoint& endpoint) {
+void OutlierDetector::on_health_check_failed(Endpoint& endpoint) const {
     endpoint.ejected_until =
         std::max(endpoint.ejected_until, context_.now + failed_health_check_pause);
 }
 
-void OutlierDetector::eject(Endpoint& endpoint) {
+void OutlierDetector::eject(Endpoint& endpoint) const {
     add_failures(endpoint, consecutive_failures_to_eject);
 }
 
-void OutlierDetector::add_failures(Endpoint& endpoint, int count) {
+void OutlierDetector::add_failures(Endpoint& endpoint, int count) const {
     endpoint.failures += count;
     if (endpoint.failures < consecutive_failures_to_eject || is_ejected(endpoint)) return;
     const int doublings = std::min(endpoint.ejections, max_ejection_doublings);
@@ -45,7 +45,7 @@
     ++endpoint.ejections;
 }
 
-void OutlierDetector::on_rejected(Endpoint& endpoint, int kind) {
+void OutlierDetector::on_rejected(Endpoint& endpoint, int kind) const {
     endpoint.avoided_kinds_until[kind] = context_.now + avoidance_time;
 }
 
@@ -54,7 +54,7 @@
     if (it != endpoint.overdue_in_row.end()) it->second = 0;
 }
 
-void OutlierDetector::on_class_overdue(Endpoint& endpoint, int request_class) {
+void OutlierDetector::on_class_overdue(Endpoint& endpoint, int request_class) const {
     if (++endpoint.overdue_in_row[request_class] < overdue_to_avoid_class) return;
     endpoint.avoided_classes_until[request_class] = context_.now + avoidance_time;
 }
--- a/src/decisions/load_balancing/outlier_detector.h
+++ b/src/decisions/load_balancing/outlier_detector.h
@@ -25,22 +25,22 @@
         return is_avoided(endpoint.avoided_classes_until, request_class);
     }
 
-    void on_outcome(Endpoint& endpoint, Outcome outcome, const AttemptAssessment& assessment);
+    void on_outcome(Endpoint& endpoint, Outcome outcome, const AttemptAssessment& assessment) const;
     // A health check failed: no attempt goes to the endpoint for a moment.
-    void on_health_check_failed(Endpoint& endpoint);
+    void on_health_check_failed(Endpoint& endpoint) const;
     // Nothing came from the endpoint for too long.
-    void eject(Endpoint& endpoint);
-    void on_rejected(Endpoint& endpoint, int kind);
-    void on_success(Endpoint& endpoint, int request_class);
+    void eject(Endpoint& endpoint) const;
+    void on_rejected(Endpoint& endpoint, int kind) const;
+    static void on_success(Endpoint& endpoint, int request_class);
     // An attempt of this class is far overdue while the endpoint responds to others.
-    void on_class_overdue(Endpoint& endpoint, int request_class);
+    void on_class_overdue(Endpoint& endpoint, int request_class) const;
 
   private:
     bool is_avoided(const std::map<int, Micros>& avoided_until, int key) const {
         const auto it = avoided_until.find(key);
         return it != avoided_until.end() && context_.now < it->second;
     }
-    void add_failures(Endpoint& endpoint, int count);
+    void add_failures(Endpoint& endpoint, int count) const;
 
     DecisionContext& context_;
 };
--- a/src/decisions/retry/attempt_rules.h
+++ b/src/decisions/retry/attempt_rules.h
@@ -9,6 +9,7 @@
 #include <string>
 #include <string_view>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "decisions/retry/block_reason.h"
@@ -57,7 +58,7 @@
 
 class AttemptRules {
   public:
-    explicit AttemptRules(const Settings& settings) : settings_(settings) {}
+    explicit AttemptRules(Settings settings) : settings_(std::move(settings)) {}
 
     void on_endpoints_changed(const EndpointsChanged& change);
     // What is known of a host that an attempt is chosen for.
--- a/src/decisions/retry/overdue_attempt_check.h
+++ b/src/decisions/retry/overdue_attempt_check.h
@@ -26,7 +26,7 @@
 
 class OverdueAttemptCheck {
   public:
-    OverdueAttemptCheck(DecisionContext& context, OutlierDetector& outliers)
+    OverdueAttemptCheck(DecisionContext& context, const OutlierDetector& outliers)
         : context_(context), outliers_(outliers) {}
 
     // From sending an attempt to its first check.
@@ -44,7 +44,7 @@
     double usual_response_s(const Endpoint& endpoint) const;
 
     DecisionContext& context_;
-    OutlierDetector& outliers_;
+    const OutlierDetector& outliers_;
 };
 
 }  // namespace silverreach
