--- a/src/decisions/admission/admission_control.h
+++ b/src/decisions/admission/admission_control.h
@@ -35,7 +35,7 @@
 
 class AdmissionControl {
   public:
-    AdmissionControl(DecisionContext& context, QuotaManager& quota,
+    AdmissionControl(const DecisionContext& context, QuotaManager& quota,
                      const OverloadDetector& overload_detector, const AdmissionQueue& queue)
         : context_(context), quota_(quota), overload_detector_(overload_detector), queue_(queue) {}
 
@@ -52,7 +52,7 @@
   private:
     bool exceeds_concurrency_quota(const CustomerQuota& customer, const Plan& plan) const;
 
-    DecisionContext& context_;
+    const DecisionContext& context_;
     QuotaManager& quota_;
     const OverloadDetector& overload_detector_;
     const AdmissionQueue& queue_;
--- a/src/decisions/decaying_counter.h
+++ b/src/decisions/decaying_counter.h
@@ -1,4 +1,4 @@
-// Time as seconds, and an amount that fades. No decision and no tuned value.
+// Times as seconds, and an exponentially decaying counter.
 #pragma once
 
 #include <algorithm>
@@ -8,22 +8,28 @@
 
 namespace silverreach {
 
-inline double seconds(std::chrono::microseconds t) {
-    return static_cast<double>(t.count()) / 1e6;
+inline double seconds(std::chrono::microseconds time) {
+    return static_cast<double>(time.count()) / 1e6;
 }
-inline std::chrono::microseconds micros(double s) {
-    return std::chrono::microseconds(static_cast<std::int64_t>(std::clamp(s, 0.0, 4e3) * 1e6));
+// Clamped to 0 to `max_duration_s`.
+inline std::chrono::microseconds micros(double duration_s) {
+    constexpr double max_duration_s = 4e3;
+    return std::chrono::microseconds(
+        static_cast<std::int64_t>(std::clamp(duration_s, 0.0, max_duration_s) * 1e6));
 }
 
-// Fades with the memory given, in seconds; over that memory it reads as a rate.
+// A sum whose terms decay exponentially. `memory_s` is the time constant in seconds, the same in
+// all calls; value() / memory_s is the recent rate a second.
 struct DecayingCounter {
-    double amount = 0;
-    std::chrono::microseconds at{0};
-    double value(std::chrono::microseconds now, double memory) const {
-        return amount * std::exp(-seconds(now - at) / memory);
+    double amount = 0;  // at `updated_at`
+    std::chrono::microseconds updated_at{0};
+
+    double value(std::chrono::microseconds now, double memory_s) const {
+        return amount * std::exp(-seconds(now - updated_at) / memory_s);
     }
-    void add(double x, std::chrono::microseconds now, double memory) {
-        amount = value(now, memory) + x, at = now;
+    void add(double term, std::chrono::microseconds now, double memory_s) {
+        amount = value(now, memory_s) + term;
+        updated_at = now;
     }
 };
 
--- a/src/decisions/load_balancing/concurrency_limiter.h
+++ b/src/decisions/load_balancing/concurrency_limiter.h
@@ -10,7 +10,7 @@
 
 class ConcurrencyLimiter {
   public:
-    ConcurrencyLimiter(DecisionContext& context, const InFlightEstimator& estimator,
+    ConcurrencyLimiter(const DecisionContext& context, const InFlightEstimator& estimator,
                        const InFlightWindow& window)
         : context_(context), estimator_(estimator), window_(window) {}
 
@@ -23,7 +23,7 @@
     void on_outcome(Endpoint& endpoint, const AttemptAssessment& assessment);
 
   private:
-    DecisionContext& context_;
+    const DecisionContext& context_;
     const InFlightEstimator& estimator_;
     const InFlightWindow& window_;
 };
--- a/src/decisions/load_balancing/endpoint.h
+++ b/src/decisions/load_balancing/endpoint.h
@@ -16,6 +16,12 @@
 // An endpoint's own statistics outweigh those of the fleet from this many recent responses on.
 inline constexpr double fleet_prior_responses = 10;
 
+// A request class of which the endpoint left attempts unanswered.
+struct UnansweredClass {
+    int overdue_in_row = 0;  // attempts, since the last success
+    Micros avoided_until{0};
+};
+
 struct Endpoint {
     EndpointEntry entry;
     std::uint32_t order_key = 0;  // position in this instance's own order
@@ -35,9 +41,8 @@
     int failures = 0;   // in a row
     int ejections = 0;  // since the last success
     Micros ejected_until{0};
-    std::map<int, Micros> avoided_kinds_until;    // rejected requests, by kind
-    std::map<int, Micros> avoided_classes_until;  // unanswered requests, by request class
-    std::map<int, int> overdue_in_row;            // by request class
+    std::map<int, Micros> rejected_kinds_until;         // by kind of request; avoided until then
+    std::map<int, UnansweredClass> unanswered_classes;  // by request class
 
     // Load reports
     Micros reported_at{0};
--- a/src/decisions/load_balancing/endpoint_selector.cpp
+++ b/src/decisions/load_balancing/endpoint_selector.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "decisions/retry/repeat_rules.h"
+#include "decisions/retry/retry_policy.h"
 
 namespace silverreach {
 namespace {
@@ -38,7 +38,7 @@
 };
 }  // namespace
 
-EndpointSelector::EndpointSelector(DecisionContext& context, RandomSource& random,
+EndpointSelector::EndpointSelector(const DecisionContext& context, RandomSource& random,
                                    EndpointTable& endpoints, SlowStart& slow_start,
                                    const InFlightEstimator& estimator,
                                    const ConcurrencyLimiter& limiter,
--- a/src/decisions/load_balancing/endpoint_selector.h
+++ b/src/decisions/load_balancing/endpoint_selector.h
@@ -14,7 +14,7 @@
 
 class EndpointSelector {
   public:
-    EndpointSelector(DecisionContext& context, RandomSource& random, EndpointTable& endpoints,
+    EndpointSelector(const DecisionContext& context, RandomSource& random, EndpointTable& endpoints,
                      SlowStart& slow_start, const InFlightEstimator& estimator,
                      const ConcurrencyLimiter& limiter, const OutlierDetector& outliers,
                      const HealthChecker& health_checker);
@@ -32,7 +32,7 @@
     double request_cost(const RequestState& request, const Endpoint& endpoint);
     bool is_eligible(const RequestState& request, const Endpoint& endpoint) const;
 
-    DecisionContext& context_;
+    const DecisionContext& context_;
     RandomSource& random_;
     EndpointTable& endpoints_;
     SlowStart& slow_start_;
--- a/src/decisions/load_balancing/endpoint_table.h
+++ b/src/decisions/load_balancing/endpoint_table.h
@@ -20,7 +20,7 @@
 // Owns the endpoints; pointers to them stay valid until the next update.
 class EndpointTable {
   public:
-    explicit EndpointTable(DecisionContext& context)
+    explicit EndpointTable(const DecisionContext& context)
         : context_(context), slow_start_tracker_(context.boot) {}
 
     // Applies an endpoint list or its changes. An endpoint with another start time starts anew.
@@ -40,7 +40,7 @@
   private:
     void apply(const EndpointEntry& entry);
 
-    DecisionContext& context_;
+    const DecisionContext& context_;
     SlowStartTracker slow_start_tracker_;
     std::map<std::string, Endpoint> endpoints_;
     std::vector<Endpoint*> order_;
--- a/src/decisions/load_balancing/in_flight_estimator.h
+++ b/src/decisions/load_balancing/in_flight_estimator.h
@@ -12,7 +12,7 @@
   public:
     static constexpr Micros load_report_lifetime{250'000};
 
-    InFlightEstimator(DecisionContext& context, const EndpointTable& endpoints)
+    InFlightEstimator(const DecisionContext& context, const EndpointTable& endpoints)
         : context_(context), endpoints_(endpoints) {}
 
     // Requests at the endpoint, by report or estimate.
@@ -30,7 +30,7 @@
     void on_attempt_ended(Micros duration);
 
   private:
-    DecisionContext& context_;
+    const DecisionContext& context_;
     const EndpointTable& endpoints_;
     DecayingCounter attempt_time_s_;  // seconds that this instance's attempts took
 };
--- a/src/decisions/load_balancing/in_flight_window.cpp
+++ b/src/decisions/load_balancing/in_flight_window.cpp
@@ -10,7 +10,7 @@
 constexpr double slack_deviations = 2;   // standard deviations of the own attempts in flight
 }  // namespace
 
-// This instance's share of what the fleet takes, and the random deviation that a share has.
+// This instance's share of what the fleet takes, and the deviation from it that chance explains.
 double InFlightWindow::size() const {
     const double share =
         fleet_limit_ * static_cast<double>(endpoints_.size()) / context_.settings.instance_count;
--- a/src/decisions/load_balancing/in_flight_window.h
+++ b/src/decisions/load_balancing/in_flight_window.h
@@ -11,10 +11,11 @@
 
 class InFlightWindow {
   public:
-    InFlightWindow(DecisionContext& context, const EndpointTable& endpoints, RandomSource& random)
+    InFlightWindow(const DecisionContext& context, const EndpointTable& endpoints,
+                   RandomSource& random)
         : context_(context), endpoints_(endpoints), random_(random) {}
 
-    // Draws where less than one attempt is left: a fraction of an attempt is a chance.
+    // Less than one attempt left is a chance, so each call draws a random number.
     bool is_open() { return attempts_in_flight_ + random_.uniform() < size(); }
     // Attempts in flight at an average endpoint that the fleet takes, by all instances.
     double fleet_limit() const { return fleet_limit_; }
@@ -25,12 +26,14 @@
     void on_outcome(const AttemptAssessment& assessment);
 
   private:
+    static constexpr double initial_fleet_limit = 2;
+
     double size() const;
 
-    DecisionContext& context_;
+    const DecisionContext& context_;
     const EndpointTable& endpoints_;
     RandomSource& random_;
-    double fleet_limit_ = 2;
+    double fleet_limit_ = initial_fleet_limit;
     int attempts_in_flight_ = 0;  // of this instance, at all endpoints
 };
 
--- a/src/decisions/load_balancing/load_balancer.cpp
+++ b/src/decisions/load_balancing/load_balancer.cpp
@@ -1,7 +1,7 @@
 #include "decisions/load_balancing/load_balancer.h"
 
 #include "decisions/response_speed.h"
-#include "decisions/retry/repeat_rules.h"
+#include "decisions/retry/retry_policy.h"
 
 namespace silverreach {
 namespace {
--- a/src/decisions/load_balancing/outlier_detector.cpp
+++ b/src/decisions/load_balancing/outlier_detector.cpp
@@ -46,17 +46,18 @@
 }
 
 void OutlierDetector::on_rejected(Endpoint& endpoint, int kind) const {
-    endpoint.avoided_kinds_until[kind] = context_.now + avoidance_time;
+    endpoint.rejected_kinds_until[kind] = context_.now + avoidance_time;
 }
 
 void OutlierDetector::on_success(Endpoint& endpoint, int request_class) {
-    const auto it = endpoint.overdue_in_row.find(request_class);
-    if (it != endpoint.overdue_in_row.end()) it->second = 0;
+    const auto it = endpoint.unanswered_classes.find(request_class);
+    if (it != endpoint.unanswered_classes.end()) it->second.overdue_in_row = 0;
 }
 
 void OutlierDetector::on_class_overdue(Endpoint& endpoint, int request_class) const {
-    if (++endpoint.overdue_in_row[request_class] < overdue_to_avoid_class) return;
-    endpoint.avoided_classes_until[request_class] = context_.now + avoidance_time;
+    UnansweredClass& unanswered = endpoint.unanswered_classes[request_class];
+    if (++unanswered.overdue_in_row >= overdue_to_avoid_class)
+        unanswered.avoided_until = context_.now + avoidance_time;
 }
 
 }  // namespace silverreach
--- a/src/decisions/load_balancing/outlier_detector.h
+++ b/src/decisions/load_balancing/outlier_detector.h
@@ -11,18 +11,20 @@
 
 class OutlierDetector {
   public:
-    explicit OutlierDetector(DecisionContext& context) : context_(context) {}
+    explicit OutlierDetector(const DecisionContext& context) : context_(context) {}
 
     bool is_ejected(const Endpoint& endpoint) const {
         return context_.now < endpoint.ejected_until;
     }
     // True for kinds of request that the endpoint rejected lately.
     bool avoids_kind(const Endpoint& endpoint, int kind) const {
-        return is_avoided(endpoint.avoided_kinds_until, kind);
+        const auto it = endpoint.rejected_kinds_until.find(kind);
+        return it != endpoint.rejected_kinds_until.end() && context_.now < it->second;
     }
     // True for request classes that the endpoint lately left unanswered.
     bool avoids_class(const Endpoint& endpoint, int request_class) const {
-        return is_avoided(endpoint.avoided_classes_until, request_class);
+        const auto it = endpoint.unanswered_classes.find(request_class);
+        return it != endpoint.unanswered_classes.end() && context_.now < it->second.avoided_until;
     }
 
     void on_outcome(Endpoint& endpoint, Outcome outcome, const AttemptAssessment& assessment) const;
@@ -36,13 +38,9 @@
     void on_class_overdue(Endpoint& endpoint, int request_class) const;
 
   private:
-    bool is_avoided(const std::map<int, Micros>& avoided_until, int key) const {
-        const auto it = avoided_until.find(key);
-        return it != avoided_until.end() && context_.now < it->second;
-    }
     void add_failures(Endpoint& endpoint, int count) const;
 
-    DecisionContext& context_;
+    const DecisionContext& context_;
 };
 
 }  // namespace silverreach
--- a/src/decisions/load_balancing/slow_start.h
+++ b/src/decisions/load_balancing/slow_start.h
@@ -23,7 +23,7 @@
 
 class SlowStart {
   public:
-    SlowStart(DecisionContext& context, RandomSource& random)
+    SlowStart(const DecisionContext& context, RandomSource& random)
         : context_(context), random_(random) {}
 
     // Whether an endpoint in slow start may take a request of `units` now. It gets the rate of a
@@ -34,7 +34,7 @@
     void on_attempt_sent(const Endpoint& endpoint, double units, std::size_t warm_count);
 
   private:
-    DecisionContext& context_;
+    const DecisionContext& context_;
     RandomSource& random_;
     Micros last_sent_{0};
     DecayingCounter warm_units_;   // sent to warm endpoints
--- a/src/decisions/retry/attempt_rules.cpp
+++ b/src/decisions/retry/attempt_rules.cpp
@@ -7,10 +7,17 @@
 namespace silverreach::rules {
 
 std::string_view to_string(BlockReason reason) {
-    constexpr std::array<std::string_view, block_reason_count> texts{
-        "answered",   "client_gone",  "time_over",   "host_not_ready", "attempts_spent",
-        "second_out", "may_have_run", "window_over", "outside_group",  "requests_in_hand"};
-    return texts[static_cast<std::size_t>(reason)];
+    constexpr std::array<std::string_view, block_reason_count> names{"answered",
+                                                                     "client_disconnected",
+                                                                     "deadline_exceeded",
+                                                                     "endpoint_unavailable",
+                                                                     "max_attempts_reached",
+                                                                     "attempt_in_flight",
+                                                                     "may_have_run",
+                                                                     "deduplication_window_closed",
+                                                                     "outside_deduplication_scope",
+                                                                     "requests_pending"};
+    return names[static_cast<std::size_t>(reason)];
 }
 
 std::uint64_t BlockCounters::sum() const {
@@ -18,20 +25,20 @@
 }
 
 void AttemptRules::on_endpoints_changed(const EndpointsChanged& change) {
-    if (change.complete) hosts_.clear();
+    if (change.complete) endpoints_.clear();
     for (const EndpointEntry& entry : change.endpoints) {
         if (entry.status == EndpointStatus::removed)
-            hosts_.erase(entry.id);
+            endpoints_.erase(entry.id);
         else
-            hosts_[entry.id] = {entry.status, entry.zone, entry.cell};
+            endpoints_[entry.id] = {entry.status, entry.zone, entry.cell};
     }
 }
 
-AttemptRecord AttemptRules::make_attempt(const std::string& host, Micros now) const {
+AttemptRecord AttemptRules::make_attempt(const std::string& endpoint, Micros now) const {
     AttemptRecord attempt;
-    attempt.endpoint = host;
+    attempt.endpoint = endpoint;
     attempt.chosen_at = now;
-    if (const auto it = hosts_.find(host); it != hosts_.end()) {
+    if (const auto it = endpoints_.find(endpoint); it != endpoints_.end()) {
         attempt.zone = it->second.zone;
         attempt.cell = it->second.cell;
     }
@@ -39,50 +46,54 @@
 }
 
 Verdict AttemptRules::check_start(Micros now, const RequestRecord& request,
-                                  const std::string& host) const {
-    if (const Verdict stop = request_open(now, request)) return stop;
-    if (const Verdict stop = host_ready(host)) return stop;
+                                  const std::string& endpoint) const {
+    if (const Verdict blocked = check_request_open(now, request)) return blocked;
+    if (const Verdict blocked = check_endpoint(endpoint)) return blocked;
     if (request.attempts.size() >= static_cast<std::size_t>(settings_.max_attempts))
         return BlockReason::max_attempts_reached;
-    const AttemptRecord next = make_attempt(host, now);
+    const AttemptRecord next = make_attempt(endpoint, now);
     for (const AttemptRecord& earlier : request.attempts)
-        if (const Verdict stop = beside(now, request, earlier, next)) return stop;
+        if (const Verdict blocked = check_earlier_attempt(now, request, earlier, next))
+            return blocked;
     return std::nullopt;
 }
 
 Verdict AttemptRules::check_send(Micros now, const RequestRecord& request,
                                  std::size_t attempt) const {
-    if (const Verdict stop = request_open(now, request)) return stop;
+    if (const Verdict blocked = check_request_open(now, request)) return blocked;
     const AttemptRecord& next = request.attempts.at(attempt);
-    if (const Verdict stop = host_ready(next.endpoint)) return stop;
-    for (std::size_t i = 0; i < request.attempts.size(); ++i)
-        if (i != attempt)
-            if (const Verdict stop = beside(now, request, request.attempts[i], next)) return stop;
+    if (const Verdict blocked = check_endpoint(next.endpoint)) return blocked;
+    for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+        if (i == attempt) continue;
+        if (const Verdict blocked = check_earlier_attempt(now, request, request.attempts[i], next))
+            return blocked;
+    }
     return std::nullopt;
 }
 
-Verdict AttemptRules::check_close(const ConnectionRecord& client) {
-    if (client.client_disconnected || client.pending_requests == 0) return std::nullopt;
+Verdict AttemptRules::check_close(const ConnectionRecord& connection) {
+    if (connection.client_disconnected || connection.pending_requests == 0) return std::nullopt;
     return BlockReason::requests_pending;
 }
 
-Verdict AttemptRules::request_open(Micros now, const RequestRecord& request) const {
+Verdict AttemptRules::check_request_open(Micros now, const RequestRecord& request) {
     if (request.answered) return BlockReason::answered;
     if (request.client_disconnected) return BlockReason::client_disconnected;
     if (now >= request.deadline) return BlockReason::deadline_exceeded;
     return std::nullopt;
 }
 
-Verdict AttemptRules::host_ready(const std::string& host) const {
-    const auto it = hosts_.find(host);
-    if (it == hosts_.end() || it->second.state != EndpointStatus::available)
+Verdict AttemptRules::check_endpoint(const std::string& endpoint) const {
+    const auto it = endpoints_.find(endpoint);
+    if (it == endpoints_.end() || it->second.status != EndpointStatus::available)
         return BlockReason::endpoint_unavailable;
     return std::nullopt;
 }
 
-// Whether `next` may follow, or run beside, an earlier attempt of the same request.
-Verdict AttemptRules::beside(Micros now, const RequestRecord& request, const AttemptRecord& earlier,
-                             const AttemptRecord& next) const {
+// Whether `next` may follow an earlier attempt, or be in flight beside it.
+Verdict AttemptRules::check_earlier_attempt(Micros now, const RequestRecord& request,
+                                            const AttemptRecord& earlier,
+                                            const AttemptRecord& next) const {
     if (earlier.in_flight() && !settings_.may_hedge) return BlockReason::attempt_in_flight;
     if (!earlier.may_have_run()) return std::nullopt;
     const RequestClass& request_class =
--- a/src/decisions/retry/attempt_rules.h
+++ b/src/decisions/retry/attempt_rules.h
@@ -1,10 +1,13 @@
-// The rules of one request in one place: whether an attempt may be chosen now, whether its bytes
-// may go out now, and whether a client's connection may be closed now. The decision module chooses;
-// every attempt is checked here when it is chosen and again when it is handed over, since time
-// passes and things happen in between. No I/O, no clock: every call names the time.
+// The rules on the attempts of one request: whether an attempt may start now, whether its bytes may
+// be sent now, and whether a client's connection may be closed now.
+//
+// The engine chooses an attempt; it is checked here when it starts, and again when its bytes are to
+// be sent, since the connection may have come up late. No I/O and no clock: every call gives the
+// time.
 #pragma once
 
 #include <array>
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -17,7 +20,7 @@
 
 namespace silverreach::rules {
 
-// Counts by reason.
+// Blocked attempts, counted by reason.
 class BlockCounters {
   public:
     void add(BlockReason reason) { ++counts_[static_cast<std::size_t>(reason)]; }
@@ -28,60 +31,65 @@
     std::array<std::uint64_t, block_reason_count> counts_{};
 };
 
+// States: started, sent (`sent_at` is set), ended.
 struct AttemptRecord {
     std::string endpoint;
-    std::string zone;  // of the host, when the attempt was chosen
+    std::string zone;  // of the endpoint at the attempt's start
     std::int64_t cell = 0;
-    Micros chosen_at{0};  // when it was chosen
-    Micros sent_at{0};    // when its bytes went out; 0: not yet
+    Micros chosen_at{0};  // its start
+    Micros sent_at{0};    // when its bytes were sent; 0: not yet
     bool ended = false;
-    bool never_ran = false;  // its end proves it
+    bool never_ran = false;  // its outcome proves that the endpoint did not execute it
 
     bool in_flight() const { return !ended; }
-    // By what is known now; one that is still to be handed over has not run.
-    bool may_have_run() const { return ended ? !never_ran : sent_at > Micros(0); }
+    bool may_have_run() const { return ended ? !never_ran : sent_at > Micros{0}; }
 };
+
 struct RequestRecord {
-    int request_class = 0;
+    int request_class = 0;  // index into Settings::classes
     bool answered = false;
     bool client_disconnected = false;
-    Micros deadline{0};
+    Micros deadline{0};  // a point of time
     std::vector<AttemptRecord> attempts;
 };
+
 // A client's connection, as its owner sees it.
 struct ConnectionRecord {
     std::size_t pending_requests = 0;
-    bool client_disconnected = false;  // by its own end or a break
+    bool client_disconnected = false;  // closed or broken by the client
 };
 
-using Verdict = std::optional<BlockReason>;  // nothing: it may
+using Verdict = std::optional<BlockReason>;  // nothing: allowed
 
 class AttemptRules {
   public:
     explicit AttemptRules(Settings settings) : settings_(std::move(settings)) {}
 
     void on_endpoints_changed(const EndpointsChanged& change);
-    // What is known of a host that an attempt is chosen for.
-    AttemptRecord make_attempt(const std::string& host, Micros now) const;
+    // The record of an attempt that starts at the endpoint now.
+    AttemptRecord make_attempt(const std::string& endpoint, Micros now) const;
 
-    Verdict check_start(Micros now, const RequestRecord& request, const std::string& host) const;
+    // Whether a further attempt of the request may start at the endpoint.
+    Verdict check_start(Micros now, const RequestRecord& request,
+                        const std::string& endpoint) const;
+    // Whether the bytes of an attempt may be sent. `attempt`: index into the request's attempts.
     Verdict check_send(Micros now, const RequestRecord& request, std::size_t attempt) const;
-    // Whether the gateway may close a client's connection of its own accord.
-    static Verdict check_close(const ConnectionRecord& client);
+    // Whether this instance may close a client's connection of its own accord.
+    static Verdict check_close(const ConnectionRecord& connection);
 
   private:
-    struct Host {
-        EndpointStatus state = EndpointStatus::available;
+    struct KnownEndpoint {
+        EndpointStatus status = EndpointStatus::available;
         std::string zone;
         std::int64_t cell = 0;
     };
-    Verdict request_open(Micros now, const RequestRecord& request) const;
-    Verdict host_ready(const std::string& host) const;
-    Verdict beside(Micros now, const RequestRecord& request, const AttemptRecord& earlier,
-                   const AttemptRecord& next) const;
+    static Verdict check_request_open(Micros now, const RequestRecord& request);
+    Verdict check_endpoint(const std::string& endpoint) const;
+    Verdict check_earlier_attempt(Micros now, const RequestRecord& request,
+                                  const AttemptRecord& earlier, const AttemptRecord& next) const;
 
     const Settings settings_;
-    std::unordered_map<std::string, Host> hosts_;
+    std::unordered_map<std::string, KnownEndpoint> endpoints_;  // without the removed ones
 };
 
 }  // namespace silverreach::rules
--- a/src/decisions/retry/overdue_attempt_check.h
+++ b/src/decisions/retry/overdue_attempt_check.h
@@ -26,7 +26,7 @@
 
 class OverdueAttemptCheck {
   public:
-    OverdueAttemptCheck(DecisionContext& context, const OutlierDetector& outliers)
+    OverdueAttemptCheck(const DecisionContext& context, const OutlierDetector& outliers)
         : context_(context), outliers_(outliers) {}
 
     // From sending an attempt to its first check.
@@ -43,7 +43,7 @@
     Idempotency idempotency_of(const RequestState& request) const;
     double usual_response_s(const Endpoint& endpoint) const;
 
-    DecisionContext& context_;
+    const DecisionContext& context_;
     const OutlierDetector& outliers_;
 };
 
--- a/src/decisions/retry/repeat_rules.h
+++ b/src/decisions/retry/repeat_rules.h
@@ -4,9 +4,6 @@
 
 #include <optional>
 
-#include "decisions/decision_context.h"
-#include "decisions/load_balancing/endpoint.h"
-#include "decisions/request_state.h"
 #include "decisions/retry/block_reason.h"
 #include "decisions/retry/deduplication.h"
 #include "silverreach/interface.h"
@@ -34,14 +31,4 @@
 bool client_may_repeat(const RequestClass& request_class, bool may_have_run,
                        bool attempt_in_flight);
 
-// Whether the request may run at the endpoint, given what may have run before.
-inline bool may_run_at(const DecisionContext& context, const RequestState& request,
-                       const Endpoint& endpoint) {
-    if (!request.may_have_run) return true;
-    const PossibleRun& earlier = request.first_possible_run;
-    return !check_repeat_at(context.settings.classes[request.arrival.request_class],
-                            earlier.sent_at, {earlier.zone, earlier.cell},
-                            {endpoint.entry.zone, endpoint.entry.cell}, context.now);
-}
-
 }  // namespace silverreach
--- a/src/decisions/retry/retry_policy.cpp
+++ b/src/decisions/retry/retry_policy.cpp
@@ -1,7 +1,6 @@
 #include "decisions/retry/retry_policy.h"
 
 #include "decisions/response_speed.h"
-#include "decisions/retry/repeat_rules.h"
 
 namespace silverreach {
 
--- a/src/decisions/retry/retry_policy.h
+++ b/src/decisions/retry/retry_policy.h
@@ -4,13 +4,24 @@
 #include "decisions/decision_context.h"
 #include "decisions/load_balancing/endpoint.h"
 #include "decisions/request_state.h"
+#include "decisions/retry/repeat_rules.h"
 #include "decisions/retry/retry_budget.h"
 
 namespace silverreach {
 
+// Whether the request may run at the endpoint, given what may have run before.
+inline bool may_run_at(const DecisionContext& context, const RequestState& request,
+                       const Endpoint& endpoint) {
+    if (!request.may_have_run) return true;
+    const PossibleRun& earlier = request.first_possible_run;
+    return !check_repeat_at(context.settings.classes[request.arrival.request_class],
+                            earlier.sent_at, {earlier.zone, earlier.cell},
+                            {endpoint.entry.zone, endpoint.entry.cell}, context.now);
+}
+
 class RetryPolicy {
   public:
-    explicit RetryPolicy(DecisionContext& context) : context_(context) {}
+    explicit RetryPolicy(const DecisionContext& context) : context_(context) {}
 
     // Call it before the request's state takes in the attempt.
     void on_attempt_sent(const RequestState& request) {
@@ -31,7 +42,7 @@
         return context_.settings.classes[request.arrival.request_class];
     }
 
-    DecisionContext& context_;
+    const DecisionContext& context_;
     RetryBudget budget_;
 };
 
