--- a/src/decisions/admission/admission_control.cpp
+++ b/src/decisions/admission/admission_control.cpp
@@ -27,11 +27,11 @@
                   quota_.missing_ceiling_units(customer, units) <= 0))
         return {};
     if (exceeds_concurrency_quota(customer, *plan))
-        return {QuotaStatus::needs_lease, Rejection{RejectReason::concurrency_limit,
-                                                    micros(context_.traffic.mean_response_s)}};
+        return {QuotaStatus::exhausted,
+                {RejectReason::concurrency_limit, micros(context_.traffic.mean_response_s)}};
     if (const auto retry_after = quota_.known_shortage(customer, units))
-        return {QuotaStatus::needs_lease, Rejection{RejectReason::quota_exhausted, *retry_after}};
-    return {QuotaStatus::needs_lease, std::nullopt};
+        return {QuotaStatus::exhausted, {RejectReason::quota_exhausted, *retry_after}};
+    return {QuotaStatus::needs_lease, {}};
 }
 
 // This instance's share of the quota, one attempt at least.
--- a/src/decisions/admission/admission_control.h
+++ b/src/decisions/admission/admission_control.h
@@ -15,17 +15,17 @@
 namespace silverreach {
 
 enum class QuotaStatus {
-    covered,     // the request is within its quota
-    needs_lease  // it has to wait for a lease
+    covered,      // the request is within its quota
+    needs_lease,  // it has to wait for a lease
+    exhausted     // it is beyond its quota, and no lease will come in time
 };
 struct Rejection {
     RejectReason reason = RejectReason::quota_exhausted;
     Micros retry_after{0};  // before it is cut to what clients heed
 };
-
 struct QuotaDecision {
     QuotaStatus status = QuotaStatus::covered;
-    std::optional<Rejection> shortage;  // set: no lease will come
+    Rejection rejection;  // where the quota is exhausted
 };
 
 struct Pacing {
--- a/src/decisions/decision_engine.cpp
+++ b/src/decisions/decision_engine.cpp
@@ -2,7 +2,9 @@
 // request through admission. Rules stand with those classes.
 #include <algorithm>
 #include <memory>
+#include <optional>
 #include <utility>
+#include <variant>
 
 #include "decisions/admission/admission_control.h"
 #include "decisions/admission/admission_queue.h"
@@ -59,12 +61,14 @@
             return context_.emit(RejectRequest{arrival.id, 0us, RejectReason::deadline_exceeded});
         RequestState& request = add_request(arrival);
         const QuotaDecision decision = admission_.check_quota(request);
-        if (decision.status == QuotaStatus::covered)
-            admit(request);
-        else if (decision.shortage)
-            admit_excess_or_reject(request, *decision.shortage);
-        else
-            quota_.wait_for_lease(*request.customer, arrival.id);
+        switch (decision.status) {
+            case QuotaStatus::covered:
+                return admit(request);
+            case QuotaStatus::needs_lease:
+                return quota_.wait_for_lease(*request.customer, arrival.id);
+            case QuotaStatus::exhausted:
+                return admit_excess_or_reject(request, decision.rejection);
+        }
     }
 
     void on(const AttemptEnded& ended) {
@@ -156,6 +160,8 @@
         admit(request);
     }
 
+    // ---- QuotaListener
+
     std::optional<double> waiting_units(RequestId id) const override {
         const auto it = requests_.find(id);
         if (it == requests_.end()) return std::nullopt;
@@ -169,10 +175,14 @@
             admit_excess_or_reject(*request, {RejectReason::quota_exhausted, retry_after});
     }
 
+    // ---- requests
+
+    // Null where the request has its final response or was never known.
     RequestState* find_request(RequestId id) {
         const auto it = requests_.find(id);
         return it == requests_.end() ? nullptr : &it->second;
     }
+    // Candidates point to endpoints, which an update of the list may remove.
     void clear_candidates() {
         for (auto& [id, request] : requests_)
             request.candidates.clear();
--- a/src/decisions/load_balancing/load_balancer.cpp
+++ b/src/decisions/load_balancing/load_balancer.cpp
@@ -88,7 +88,7 @@
         is_fast(context_.traffic.mean_response_s, objective_s))
         outliers_.on_rejected(endpoint, request->kind);
     if (ended.outcome == Outcome::success)
-        outliers_.on_success(endpoint, request->arrival.request_class);
+        OutlierDetector::on_success(endpoint, request->arrival.request_class);
     return assessment;
 }
 
