--- a/include/silverreach/interface.h
+++ b/include/silverreach/interface.h
@@ -149,13 +149,13 @@
     Micros duration{0};
     bool request_completed = false;  // the request has its final answer
     double actual_units = 0;         // 0: not told
-    LoadReport load_report;
+    LoadReport load_report = {};
 };
 struct HealthCheckEnded {
     std::string endpoint;
     Outcome outcome = Outcome::success;
     Micros duration{0};
-    LoadReport load_report;
+    LoadReport load_report = {};
 };
 struct ClientDisconnected {
     RequestId id = 0;
--- /dev/null
+++ b/tests/decisions/admission/overload_detector_test.cpp
@@ -0,0 +1,47 @@
+// What counts as overload of the back end.
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "tests/decisions/support/engine_harness.h"
+
+using namespace silverreach;
+using namespace silverreach::decision_tests;
+using namespace std::chrono_literals;
+
+// Otherwise the time-outs of removed endpoints would lower the limits of those that respond.
+TEST(OverloadDetector, TimeoutsOfUnresponsiveEndpointsAreNotOverload) {
+    // More than a quarter of the latency objective, so that time-outs may indicate overload.
+    constexpr Micros response_time = 210ms;
+    constexpr Micros timeout = 500ms;
+    Settings settings = single_instance_settings();
+    settings.may_hedge = false;
+    settings.may_cancel = false;
+    EngineHarness harness(settings, make_endpoints('a', 'x'));
+    RequestId last_id = 1000;
+    int timeout_count = 0;
+    const auto run = [&](int request_count, const std::string& first_unresponsive) {
+        for (int request = 0; request < request_count; ++request) {
+            const auto sent = actions_of<SendAttempt>(
+                harness.arrive({.id = ++last_id, .units = 0, .plan = -1, .customer = "unlimited"}));
+            ASSERT_EQ(sent.size(), 1u);
+            const bool timed_out = sent[0].endpoint >= first_unresponsive;
+            const Micros duration = timed_out ? timeout : response_time;
+            timeout_count += timed_out ? 1 : 0;
+            harness.advance(duration);
+            harness.end_attempt({.id = last_id,
+                                 .endpoint = sent[0].endpoint,
+                                 .outcome = timed_out ? Outcome::timeout : Outcome::success,
+                                 .duration = duration,
+                                 .request_completed = timed_out});
+        }
+    };
+    run(60, "z");
+    run(30, "i");  // two thirds of the endpoints do not respond
+    ASSERT_GT(timeout_count, 10);
+    // Not overloaded: a customer's whole burst is sent at once.
+    int sent = 0;
+    for (int request = 0; request < 2; ++request)
+        sent += static_cast<int>(actions_of<SendAttempt>(harness.arrive({.id = ++last_id})).size());
+    EXPECT_EQ(sent, 2);
+}
--- /dev/null
+++ b/tests/decisions/load_balancing/outlier_detection_test.cpp
@@ -0,0 +1,156 @@
+// When an endpoint is ejected, and for which request classes.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "tests/decisions/support/engine_harness.h"
+
+using namespace silverreach;
+using namespace silverreach::decision_tests;
+using namespace std::chrono_literals;
+
+namespace {
+Settings settings_with_ample_quota() {
+    Settings settings = single_instance_settings();
+    settings.plans = {{.name = "plan", .rate = 1000, .burst = 1000}};
+    return settings;
+}
+
+std::size_t count_sent(EngineHarness& harness, RequestId id) {
+    return actions_of<SendAttempt>(harness.arrive({.id = id})).size();
+}
+
+void fail_attempt(EngineHarness& harness, RequestId id, Outcome outcome) {
+    harness.end_attempt({.id = id,
+                         .endpoint = "a",
+                         .outcome = outcome,
+                         .duration = 1ms,
+                         .request_completed = true});
+}
+
+// 20 requests/s of each of two classes on the endpoints "a" and "b". Endpoint "a" leaves every
+// request of class "put" unanswered; all else succeeds in 40 ms.
+class TwoClassLoad {
+  public:
+    TwoClassLoad() : harness_(settings(), make_endpoints('a', 'b')) {}
+    void run(Micros duration) {
+        puts.clear();
+        reads.clear();
+        for (const Micros until = harness_.now + duration; harness_.now < until;) {
+            for (int request = 0; request < 2; ++request, ++next_id_)
+                carry_out(harness_.arrive({.id = next_id_, .request_class = class_of(next_id_)}));
+            for (int step = 0; step < 5; ++step) {
+                cancel_attempts(harness_.advance(10ms));
+                end_due_attempts();
+            }
+        }
+    }
+
+    std::map<std::string, int> puts;  // attempts in the latest run by endpoint
+    std::map<std::string, int> reads;
+
+  private:
+    static constexpr int put_class = 1;
+    static constexpr Micros response_time = 40ms;
+    static constexpr Micros timeout = 1990ms;
+    static constexpr Micros cancelled_after = 440ms;
+
+    static Settings settings() {
+        Settings settings = settings_with_ample_quota();
+        settings.may_hedge = false;
+        settings.classes.push_back({.name = "put",
+                                    .idempotency = Idempotency::idempotency_key,
+                                    .latency_objective = 800ms,
+                                    .deadline = 2s,
+                                    .deduplication_window = 3s});
+        return settings;
+    }
+    static int class_of(RequestId id) { return static_cast<int>(id % 2); }
+
+    void carry_out(const std::vector<Action>& actions) {
+        for (const SendAttempt& attempt : actions_of<SendAttempt>(actions)) {
+            const bool put = class_of(attempt.id) == put_class;
+            const bool lost = put && attempt.endpoint == "a";
+            const Micros duration = lost ? timeout : response_time;
+            ++(put ? puts : reads)[attempt.endpoint];
+            outstanding_.emplace(harness_.now + duration,
+                                 AttemptEnded{.id = attempt.id,
+                                              .endpoint = attempt.endpoint,
+                                              .outcome = lost ? Outcome::timeout : Outcome::success,
+                                              .duration = duration});
+        }
+    }
+    void cancel_attempts(const std::vector<Action>& actions) {
+        for (const CancelAttempt& cancel : actions_of<CancelAttempt>(actions)) {
+            std::erase_if(outstanding_,
+                          [&](const auto& entry) { return entry.second.id == cancel.id; });
+            carry_out(harness_.end_attempt({.id = cancel.id,
+                                            .attempt = cancel.attempt,
+                                            .endpoint = "a",
+                                            .outcome = Outcome::cancelled,
+                                            .duration = cancelled_after}));
+        }
+    }
+    void end_due_attempts() {
+        while (!outstanding_.empty() && outstanding_.begin()->first <= harness_.now) {
+            const AttemptEnded ended = outstanding_.begin()->second;
+            outstanding_.erase(outstanding_.begin());
+            carry_out(harness_.end_attempt(ended));
+        }
+    }
+
+    EngineHarness harness_;
+    RequestId next_id_ = 1;
+    std::multimap<Micros, AttemptEnded> outstanding_;  // by the time of the end
+};
+}  // namespace
+
+// Every tenth connection may break while its endpoint serves all others.
+TEST(OutlierDetection, EjectsAfterThreeResetsInARowOrOneFailedConnect) {
+    EngineHarness harness(settings_with_ample_quota(), {make_endpoint("a")});
+    for (RequestId id = 1; id <= 5; ++id) {
+        ASSERT_EQ(count_sent(harness, 2 * id), 1u) << id;
+        harness.succeed(2 * id, "a", 50ms);
+        ASSERT_EQ(count_sent(harness, 2 * id + 1), 1u) << id;
+        fail_attempt(harness, 2 * id + 1, Outcome::reset);
+        harness.advance(10ms);
+    }
+    for (RequestId id = 20; id < 23; ++id) {
+        EXPECT_EQ(count_sent(harness, id), id < 22 ? 1u : 0u)
+            << "with the reset before them the third in a row ejects the endpoint";
+        fail_attempt(harness, id, Outcome::reset);
+    }
+    EngineHarness unreachable(settings_with_ample_quota(), {make_endpoint("a")});
+    unreachable.arrive({.id = 1});
+    fail_attempt(unreachable, 1, Outcome::connect_failed);
+    EXPECT_EQ(count_sent(unreachable, 2), 0u) << "a failed connect ejects at once";
+}
+
+TEST(OutlierDetection, EndpointThatLeavesOneClassUnansweredIsAvoidedForThatClassOnly) {
+    TwoClassLoad load;
+    load.run(5s);
+    load.run(15s);
+    EXPECT_LE(load.puts["a"], 2);
+    EXPECT_GT(load.puts["b"], 280);
+    EXPECT_GT(load.reads["a"], 120) << "reads still go there, and more than before";
+}
+
+// The first responses to come are the shortest and say little of the usual response time.
+TEST(OutlierDetection, FirstShortResponsesDoNotMakeOtherEndpointsUnresponsive) {
+    Settings settings = settings_with_ample_quota();
+    settings.may_hedge = false;
+    EngineHarness harness(settings);
+    for (RequestId id = 1; id <= 3; ++id)
+        harness.arrive({.id = id});
+    harness.advance(5ms);
+    const auto sent = actions_of<SendAttempt>(harness.actions);
+    ASSERT_EQ(sent.size(), 3u);
+    harness.succeed(sent[0].id, sent[0].endpoint, 5ms);
+    // The others take a little over a quarter of the latency objective.
+    const auto caused = harness.advance(220ms);
+    EXPECT_TRUE(actions_of<CancelAttempt>(caused).empty());
+    EXPECT_EQ(count_sent(harness, 4), 1u);
+}
--- /dev/null
+++ b/tests/decisions/load_balancing/slow_start_test.cpp
@@ -0,0 +1,141 @@
+// How much load a freshly started endpoint gets while it is warming up.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "tests/decisions/support/engine_harness.h"
+#include "tests/decisions/support/fleet_harness.h"
+
+using namespace silverreach;
+using namespace silverreach::decision_tests;
+using namespace std::chrono_literals;
+
+namespace {
+// The admission to a warming up endpoint is random, so sums over this many runs are compared.
+constexpr int seed_count = 20;
+constexpr Micros request_interval = 50ms;
+
+using AttemptsByEndpoint = std::map<std::string, int>;
+
+EndpointEntry restarted_endpoint(const std::string& id, Micros now) {
+    EndpointEntry endpoint = make_endpoint(id);
+    endpoint.started_at = now;
+    return endpoint;
+}
+
+// 20 requests/s; from the fourth outstanding one on the oldest is answered, after 200 ms.
+class PipelinedLoad {
+  public:
+    explicit PipelinedLoad(EngineHarness& harness) : harness_(harness) {}
+    AttemptsByEndpoint run(Micros duration) {
+        constexpr std::size_t max_outstanding = 4;
+        AttemptsByEndpoint attempts;
+        for (Micros elapsed{0}; elapsed < duration; elapsed += request_interval) {
+            harness_.advance(request_interval);
+            if (outstanding_.size() >= max_outstanding) {
+                const SendAttempt oldest = outstanding_.front();
+                outstanding_.pop_front();
+                harness_.succeed(oldest.id, oldest.endpoint, 200ms);
+            }
+            for (const SendAttempt& sent :
+                 actions_of<SendAttempt>(harness_.arrive({.id = next_id_++}))) {
+                ++attempts[sent.endpoint];
+                outstanding_.push_back(sent);
+            }
+        }
+        return attempts;
+    }
+
+  private:
+    EngineHarness& harness_;
+    RequestId next_id_ = 1;
+    std::deque<SendAttempt> outstanding_;
+};
+
+// 20 requests/s, each answered at once in 30 ms.
+AttemptsByEndpoint run_instant_load(EngineHarness& harness, Micros duration, RequestId& next_id) {
+    AttemptsByEndpoint attempts;
+    for (Micros elapsed{0}; elapsed < duration; elapsed += request_interval) {
+        harness.advance(request_interval);
+        const RequestId id = next_id++;
+        const auto sent = actions_of<SendAttempt>(harness.arrive({.id = id}));
+        if (sent.empty()) continue;
+        harness.succeed(id, sent[0].endpoint, 30ms);
+        ++attempts[sent[0].endpoint];
+    }
+    return attempts;
+}
+}  // namespace
+
+TEST(SlowStart, FreshEndpointGetsASmallShareThatGrows) {
+    int early_attempts = 0;
+    int late_attempts = 0;
+    for (int seed = 1; seed <= seed_count; ++seed) {
+        EngineHarness harness(without_rate_quota(single_instance_settings()),
+                              make_endpoints('a', 'c'), static_cast<std::uint64_t>(seed));
+        PipelinedLoad load(harness);
+        load.run(10s);
+        harness.handle(EndpointsChanged{false, {restarted_endpoint("c", harness.now)}});
+        const int first_attempts = load.run(2s)["c"];
+        EXPECT_LE(first_attempts, 10) << seed;
+        early_attempts += first_attempts;
+        late_attempts += load.run(8s)["c"];
+    }
+    // 2 s at a fifth to a third of 6.7 requests/s, and one or two at once.
+    EXPECT_LE(early_attempts, 6 * seed_count);
+    EXPECT_GT(late_attempts, 15 * seed_count);
+}
+
+// If any positive budget admitted a whole request, hundreds of instances could each send one at
+// once.
+TEST(SlowStart, HundredsOfInstancesTogetherKeepToTheShare) {
+    constexpr int instance_count = 300;
+    Settings settings = without_rate_quota(two_instance_settings());
+    FleetHarness fleet(settings, instance_count, 3);
+    fleet.response_time = 100ms;
+    RequestId last_id = 0;
+    const auto count_attempts = [&](Micros duration) {  // 100 requests/s on four endpoints
+        int attempts = 0;
+        for (Micros elapsed{0}; elapsed < duration; elapsed += 10ms) {
+            fleet.advance(10ms);
+            fleet.arrive(fleet.random_rank(instance_count), ++last_id, 1, instance_count);
+            for (const FleetAttempt& sent : fleet.take_sent())
+                attempts += sent.attempt.endpoint == "d" ? 1 : 0;
+        }
+        return attempts;
+    };
+    count_attempts(15s);
+    const EndpointEntry restarted = restarted_endpoint("d", fleet.now);
+    for (EngineHarness& instance : fleet.instances)
+        instance.handle(EndpointsChanged{false, {restarted}});
+    // An even share is 25 requests/s; a fifth of that at first.
+    EXPECT_LE(count_attempts(2s), 25);
+    EXPECT_GT(count_attempts(8s), 20);  // and it is not starved
+}
+
+// If the share were taken of what the few warm endpoints carry, spread over all endpoints, those
+// warming up would get next to nothing, and the overload would go on.
+TEST(SlowStart, ManyFreshEndpointsKeepTheShareOfWarmOnesBefore) {
+    int attempts_at_fresh = 0;
+    for (int seed = 1; seed <= seed_count; ++seed) {
+        EngineHarness harness(without_rate_quota(single_instance_settings()),
+                              make_endpoints('a', 'h'), static_cast<std::uint64_t>(seed));
+        RequestId next_id = 1;
+        run_instant_load(harness, 20s, next_id);
+        EndpointsChanged change{false, {}};
+        for (char letter = 'c'; letter <= 'h'; ++letter)
+            change.endpoints.push_back(restarted_endpoint(std::string(1, letter), harness.now));
+        harness.handle(change);
+        for (const auto& [endpoint, attempts] : run_instant_load(harness, 6s, next_id))
+            attempts_at_fresh += endpoint >= "c" ? attempts : 0;
+    }
+    // A warm endpoint had 2.5 requests/s; half of twice that, at a fifth to two thirds of the
+    // capacity, for six endpoints in 6 s: some 40. Spread over all endpoints it would be half.
+    EXPECT_GT(attempts_at_fresh, 30 * seed_count);
+    EXPECT_LT(attempts_at_fresh, 60 * seed_count);
+}
