--- a/include/silverreach/interface.h
+++ b/include/silverreach/interface.h
@@ -1,10 +1,13 @@
-// The types, events and actions of the gateway's decision module. No decision and no tuned value
-// lives here.
+// The public interface of the decision engine: settings, events, actions and the engine itself.
 //
-// A host process owns clock, timers, connections and messages. It builds one `Gateway` per
-// instance, feeds it what happens in order, and carries out the actions appended to the vector it
-// hands in. All times are microseconds of one clock that only moves forward; its start is
-// arbitrary.
+// The host program owns clock, timers, connections and messages. It builds one DecisionEngine per
+// gateway instance, passes events to it in the order in which they happen, and carries out the
+// actions that each event yields, in their order. The engine does no I/O and keeps no pointer or
+// reference to anything passed to it.
+//
+// Times are microseconds of one monotonic clock with an arbitrary start. Rates are per second.
+// Shares and factors are plain ratios, where 1 is the whole. "Units" are what a plan's quota is
+// counted in; most requests cost one.
 #pragma once
 
 #include <chrono>
@@ -17,216 +20,242 @@
 namespace silverreach {
 
 using Micros = std::chrono::microseconds;
+// Chosen by the host program; unique among the requests of one engine, below 2^60.
 using RequestId = std::uint64_t;
 
-// ---- settings, given once at start
-// ----------------------------------------------------------------------
+// ---- settings, fixed for the life of an engine ----
 
+// What a second execution of the same request does.
 enum class Idempotency {
-    idempotent,
-    idempotency_key,
-    non_idempotent
-};  // what a second run of a request would do
+    idempotent,       // no harm: it may be retried and hedged
+    idempotency_key,  // endpoints drop it, within the deduplication scope and window
+    non_idempotent    // a second effect: retried only where no earlier attempt can have run
+};
+
+// The endpoints among which a repeated idempotency key is recognized.
 enum class DeduplicationScope {
     all,
-    zone,
-    cell
-};  // the hosts among which a keyed repeat is dropped
+    zone,  // endpoints with the same EndpointEntry::zone
+    cell   // endpoints with the same EndpointEntry::cell
+};
+
+// Where endpoints report their load.
 enum class LoadReportMode {
     none,
     in_responses,
     on_health_check
 };
 
+// Requests that share deadline, priority and idempotency.
 struct RequestClass {
     std::string name;
     Idempotency idempotency = Idempotency::idempotent;
     DeduplicationScope deduplication_scope = DeduplicationScope::all;
-    Micros latency_objective{0};     // an answer within this time earns the full worth
-    Micros deadline{0};              // the client's whole patience
-    Micros deduplication_window{0};  // keyed: how long hosts remember a request
-    double priority_weight = 1;
-    double late_weight_factor = 0;  // share of the worth earned after the aim
+    Micros latency_objective{0};     // a response within this time has the full weight; above 0
+    Micros deadline{0};              // time until the client gives up; above 0
+    Micros deduplication_window{0};  // how long endpoints remember an idempotency key
+    double priority_weight = 1;      // value of one response, relative to other classes
+    double late_weight_factor = 0;   // share of the weight left after the latency objective
 };
 
+// The quota of each customer of this plan. Quotas hold over all instances together.
 struct Plan {
     std::string name;
-    double rate = 0;                  // units a second for each customer; 0: no rate quota
-    double burst = 0;                 // most units in the quota's store
-    int max_concurrent_attempts = 0;  // attempts out at once; 0: no such quota
-    double priority_factor = 1;
-    double excess_weight_factor = 0;  // share of the worth earned beyond the quota
-    double excess_cost_factor = 0;    // share of the worth that a try beyond the quota costs
-    double ceiling_rate = 0;          // the ceiling's refill; 0: no ceiling
-    double ceiling_burst = 0;
+    double rate = 0;                  // units per second; 0: no rate quota
+    double burst = 0;                 // capacity of the token bucket, in units
+    int max_concurrent_attempts = 0;  // attempts in flight in the fleet; 0: no limit
+    double priority_factor = 1;       // multiplies RequestClass::priority_weight
+    double excess_weight_factor = 0;  // share of the weight that a request beyond the quota has
+    double excess_cost_factor = 0;    // share of the weight that an attempt beyond the quota costs
+    double ceiling_rate = 0;          // units per second, never exceeded; 0: no ceiling
+    double ceiling_burst = 0;         // capacity of the ceiling's token bucket, in units
 };
 
 struct Settings {
-    int rank = 0;
-    int instance_count = 1;
-    std::string zone;
+    // Place in the fleet.
+    int rank = 0;            // of this instance, from 0 to instance_count - 1
+    int instance_count = 1;  // gateway instances
+    std::string zone;        // of this instance; empty: unknown
     std::vector<RequestClass> classes;
     std::vector<Plan> plans;
-    // permissions
-    int max_attempts = 1;
-    bool may_hedge = false;
+    // What the engine may do.
+    int max_attempts = 1;    // per request, hedged ones included; at least 1
+    bool may_hedge = false;  // two attempts of one request in flight
     bool may_cancel = false;
     bool may_health_check = false;
     bool may_message_peers = false;
     bool may_send_retry_after = false;
-    Micros max_retry_after{0};
-    double peer_messages_per_second = 0;  // what one gateway takes in
-    bool units_corrected_by_response = false;
+    Micros max_retry_after{0};                 // longest Retry-After; 0: no limit
+    double peer_messages_per_second = 0;       // that one instance accepts, from all peers
+    bool units_corrected_by_response = false;  // AttemptEnded::actual_units replaces the estimate
     LoadReportMode load_report_mode = LoadReportMode::none;
-    // figures of the rules
-    Micros timer_tick{0};
-    Micros slow_start_window{0};
-    Micros overload_window{0};
-    double overload_factor = 1;
-    double initial_capacity_share = 1;
-    // prices
-    double cross_zone_cost = 0;
+    // How the endpoints behave, and what they cost.
+    Micros timer_tick{0};               // resolution of the host program's timers
+    Micros slow_start_window{0};        // time in which a started endpoint warms up; 0: none
+    Micros overload_window{0};          // an endpoint that warms up fails when it is sent
+    double overload_factor = 1;         // this multiple of its capacity for that long
+    double initial_capacity_share = 1;  // capacity at the start, as a share of the full one
+    double cross_zone_cost = 0;         // price of an attempt in another zone; 0: none
 };
 
-// Throws std::invalid_argument with a plain message where the settings cannot work.
+// Throws std::invalid_argument, with a message that names the setting, where an engine cannot work
+// with the settings. Thread-safe.
 void validate(const Settings& settings);
 
-// ---- events
-// ---------------------------------------------------------------------------------------------
+// ---- events, from the host program to the engine ----
 
 enum class EndpointStatus {
     available,
-    draining,
+    draining,  // gets no new attempts; those in flight complete
     removed
 };
 
 struct EndpointEntry {
-    std::string id;
-    std::string zone;
-    std::string kind;
+    std::string id;    // unique; the name in all other events and actions
+    std::string zone;  // empty: unknown
+    std::string kind;  // hardware model; not used for decisions
     std::int64_t cell = 0;
     EndpointStatus status = EndpointStatus::available;
-    double weight = 1;
-    Micros started_at{0};  // clock time of the latest start; 0: long past
+    double weight = 1;     // capacity, relative to other endpoints
+    Micros started_at{0};  // clock time of the latest start; 0: long ago
 };
 
+// Load of an endpoint as it reports it. Negative: not reported.
 struct LoadReport {
-    double queued_requests = -1;     // requests waiting; below 0: not told
-    double in_flight_requests = -1;  // requests held; below 0: not told
-    double utilization = -1;         // busy share of the cores; below 0: not told
+    double queued_requests = -1;
+    double in_flight_requests = -1;  // executing and queued
+    double utilization = -1;         // share of the cores that is busy, 0 to 1
 };
 
+// How an attempt or a health check ended.
 enum class Outcome {
     success,
-    error,
-    rejected,
-    timeout,
-    connect_failed,
-    reset,
-    cancelled,
-    not_started
+    error,           // a response that says that the request failed
+    rejected,        // the endpoint sheds load; the request did not run
+    timeout,         // no response in the time allowed
+    connect_failed,  // no connection; the request did not run
+    reset,           // the connection broke before the response; the request may have run
+    cancelled,       // by CancelAttempt; the request may have run
+    not_started      // ended before its bytes were sent; the request did not run
 };
 
 struct EndpointsChanged {
-    bool complete = false;  // false: only the entries that changed
+    bool complete = false;  // true: the whole list; entries that it lacks are removed
     std::vector<EndpointEntry> endpoints;
 };
+// Starts a request. The engine ends it by exactly one RejectRequest or FailRequest, unless a
+// successful attempt or the client ends it first.
 struct RequestArrived {
     RequestId id = 0;
     std::string customer;
-    int plan = 0;           // index into Settings::plans; below 0: unknown, no quota
-    int request_class = 0;  // index into Settings::classes
-    double units = 1;
-    Micros time_remaining{0};
-    int subset_size = 1;   // gateways through which this customer arrives
-    int subset_start = 0;  // rank of the first of them; the others follow, counted round
+    int plan = 0;              // index into Settings::plans; negative: unknown, no quota
+    int request_class = 0;     // index into Settings::classes
+    double units = 1;          // estimate, charged to the customer's quota
+    Micros time_remaining{0};  // until the client gives up
+    int subset_size = 1;       // instances through which this customer's requests arrive
+    int subset_start = 0;      // rank of the first of them; the others follow, modulo the fleet
 };
+// Ends one attempt; exactly once for each SendAttempt.
 struct AttemptEnded {
     RequestId id = 0;
-    int attempt = 0;
+    int attempt = 0;  // from 0, in the order in which the request's attempts were sent
     std::string endpoint;
     Outcome outcome = Outcome::success;
     Micros duration{0};
-    bool request_completed = false;  // the request has its final answer
-    double actual_units = 0;         // 0: not told
+    bool request_completed = false;  // the request has its final response
+    double actual_units = 0;         // as the endpoint counted them; 0: not reported
     LoadReport load_report = {};
 };
+// Ends one health check; exactly once for each StartHealthCheck.
 struct HealthCheckEnded {
     std::string endpoint;
     Outcome outcome = Outcome::success;
     Micros duration{0};
     LoadReport load_report = {};
 };
+// The request needs no response any more; no attempt is sent for it after this.
 struct ClientDisconnected {
     RequestId id = 0;
 };
+// Messages may be lost, duplicated, delayed and reordered; malformed ones are ignored.
 struct PeerMessageReceived {
-    int from = 0;
+    int from = 0;  // rank of the sender
     std::string bytes;
 };
 struct TimerFired {
-    std::uint64_t token = 0;
+    std::uint64_t token = 0;  // of the SetTimer
 };
 
 using Event = std::variant<EndpointsChanged, RequestArrived, AttemptEnded, HealthCheckEnded,
                            ClientDisconnected, PeerMessageReceived, TimerFired>;
 
-// ---- actions
-// --------------------------------------------------------------------------------------------
+// ---- actions, from the engine to the host program ----
 
+// Ends in one AttemptEnded. A successful response is the request's final response.
 struct SendAttempt {
     RequestId id;
     std::string endpoint;
-    Micros timeout;  // 0: until the client quits
+    Micros timeout;  // 0: until the client's deadline
 };
+
 enum class RejectReason {
-    quota_exhausted,    // the customer's own quota is spent
-    ceiling_reached,    // its hard ceiling is
-    concurrency_limit,  // it has as many attempts out as its plan allows
-    overloaded,         // the back end looks pressed and its slice comes too late
-    no_endpoint,        // no host could take it in time; nothing was sent
-    no_response,  // it was sent, no good answer came in time; a repeat is harmless all the same
-    deadline_exceeded  // it came with no time left
-};
-struct RejectRequest {  // final: trying again is harmless
+    quota_exhausted,    // the customer's rate quota
+    ceiling_reached,    // the customer's ceiling
+    concurrency_limit,  // Plan::max_concurrent_attempts
+    overloaded,         // the back end is overloaded and pacing would pass the deadline
+    no_endpoint,        // none had capacity in time; nothing was sent
+    no_response,        // sent, but no successful response in time; safe to retry
+    deadline_exceeded   // it arrived with no time remaining
+};
+
+// Final response: rejected, with no effect or none that a retry repeats.
+struct RejectRequest {
     RequestId id;
-    Micros retry_after;  // 0: no advice
+    Micros retry_after;  // 0: none
     RejectReason reason = RejectReason::quota_exhausted;
 };
-struct FailRequest {  // final: promises nothing
+// Final response: failed; the request may have run.
+struct FailRequest {
     RequestId id;
 };
+// Ends in AttemptEnded with Outcome::cancelled, unless the attempt has ended otherwise.
 struct CancelAttempt {
     RequestId id;
     int attempt;
 };
+// Ends in one HealthCheckEnded.
 struct StartHealthCheck {
     std::string endpoint;
 };
+// Ends in one TimerFired with the same token, not before the delay is over.
 struct SetTimer {
     Micros delay;
-    std::uint64_t token;
+    std::uint64_t token;  // below 2^63
 };
+// One datagram, without a response or an acknowledgement.
 struct SendPeerMessage {
-    int to;  // rank of a peer; below 0: every peer
+    int to;  // rank of the peer; negative: every peer
     std::string bytes;
 };
 
 using Action = std::variant<SendAttempt, RejectRequest, FailRequest, CancelAttempt,
                             StartHealthCheck, SetTimer, SendPeerMessage>;
 
-// ---- the module
-// -----------------------------------------------------------------------------------------
-
+// Decides on admission, endpoint, retries and rejection of each request of one gateway instance.
+// Not thread-safe: all calls come from one thread, or are serialized. Given the same settings,
+// seed and events it yields the same actions.
 class DecisionEngine {
   public:
-    // Throws std::invalid_argument with a plain message where the settings cannot work.
+    // `seed` starts the random choices. `now` is the clock time at which the instance started.
+    // Throws std::invalid_argument as validate() does.
     DecisionEngine(Settings settings, std::uint64_t seed, Micros now);
     ~DecisionEngine();
     DecisionEngine(DecisionEngine&&) noexcept;
     DecisionEngine& operator=(DecisionEngine&&) noexcept;
 
-    // Decides on one event at clock time `now`; appends what is to be done, in order.
+    // Handles one event at clock time `now`, which never decreases. Appends the actions to carry
+    // out, in order; `actions` stays the caller's. Events that refer to an unknown request,
+    // endpoint, peer or timer are ignored.
     void handle(Micros now, const Event& event, std::vector<Action>& actions);
 
   private:
