--- a/bench/parts_bench.cpp
+++ b/bench/parts_bench.cpp
@@ -6,7 +6,7 @@
 #include <memory>
 
 #include "accounts/journal.h"
-#include "core/core.h"
+#include "core/request_coordinator.h"
 #include "frontend/http/translate.h"
 #include "openapi/description.h"
 
@@ -67,7 +67,7 @@
 void core_with_module(benchmark::State& state) {
     Micros now = 1s;
     Null out;
-    core::Core core(settings(), 0, 1, now, out);
+    core::RequestCoordinator core(settings(), 0, 1, now, out);
     core.on_endpoints_changed(now, hosts(static_cast<int>(state.range(0))));
     for (auto _ : state) {
         now += 50us;
--- a/scenario_runner/fleet/virtual_fleet.cpp
+++ b/scenario_runner/fleet/virtual_fleet.cpp
@@ -6,7 +6,7 @@
 #include <queue>
 #include <unordered_map>
 
-#include "core/core.h"
+#include "core/request_coordinator.h"
 #include "scenario_runner/fleet/arrivals.h"
 
 namespace silverreach::scenario {
@@ -65,7 +65,8 @@
             ++life;
             stalled_until = 0us;
             own.clear();
-            core = std::make_unique<core::Core>(settings, 0, sim.random_(), sim.now_, *this);
+            core = std::make_unique<core::RequestCoordinator>(settings, 0, sim.random_(), sim.now_,
+                                                              *this);
             EndpointsChanged list{true, {}};
             for (int h = 0; h < sim.day_.hosts; ++h)
                 list.endpoints.push_back({"10.0.0." + std::to_string(h + 1) + ":80", "", "", 0,
@@ -129,7 +130,7 @@
         int rank;
         std::uint64_t life = 0;
         Micros stalled_until{0};
-        std::unique_ptr<core::Core> core;
+        std::unique_ptr<core::RequestCoordinator> core;
         std::unordered_map<RequestId, std::size_t> own;  // requests in hand, by place in tries_
     };
 
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -54,9 +54,9 @@
         accounts_ = std::make_unique<config::Accounts>(config);
     }
     const std::uint64_t seed = seed_of(config);
-    core_ =
-        std::make_unique<core::Core>(config::settings_of(config), config.peers().account_spread(),
-                                     seed, loop.now(), static_cast<core::Environment&>(*this));
+    core_ = std::make_unique<core::RequestCoordinator>(
+        config::settings_of(config), config.peers().account_spread(), seed, loop.now(),
+        static_cast<core::Environment&>(*this));
     upstream_ = std::make_unique<upstream_http::Upstream>(
         loop, config, static_cast<upstream_http::Events&>(*this));
     if (config.has_peers())
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -7,7 +7,7 @@
 
 #include "cli/files.h"
 #include "config/config.h"
-#include "core/core.h"
+#include "core/request_coordinator.h"
 #include "discovery/roster.h"
 #include "event/background.h"
 #include "event/loop.h"
@@ -75,7 +75,7 @@
     event::TokenTimers timers_;
     event::Background background_;
     bool reload_again_ = false;
-    std::unique_ptr<core::Core> core_;
+    std::unique_ptr<core::RequestCoordinator> core_;
     std::unique_ptr<upstream_http::Upstream> upstream_;
     std::unique_ptr<peers::Peers> peers_;
     std::unique_ptr<frontend::http::Front> front_;
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -42,8 +42,8 @@
       offset_(unix_now() - event::Loop::clock()),
       judge_(config_),
       timers_(loop, [this](std::uint64_t token) { core_->on_timer(now(), {token}); }) {
-    core_ = std::make_unique<core::Core>(config_.settings, 0, config_.seed, now(),
-                                         static_cast<core::Environment&>(*this));
+    core_ = std::make_unique<core::RequestCoordinator>(config_.settings, 0, config_.seed, now(),
+                                                       static_cast<core::Environment&>(*this));
     const auto sockets =
         static_cast<std::size_t>(std::max(8, descriptors(config_.limits) - reserved_descriptors));
     upstream_resp::PoolLimits pool;
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <string>
 
-#include "core/core.h"
+#include "core/request_coordinator.h"
 #include "discovery/watch.h"
 #include "event/loop.h"
 #include "event/token_timers.h"
@@ -71,7 +71,7 @@
     platform::Judge judge_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     event::TokenTimers timers_;
-    std::unique_ptr<core::Core> core_;
+    std::unique_ptr<core::RequestCoordinator> core_;
     std::unique_ptr<upstream_resp::Upstream> upstream_;
     std::unique_ptr<peers::PlainPeers> peers_;
     std::unique_ptr<frontend::resp::Front> front_;
--- a/src/frontend/http/front.cpp
+++ b/src/frontend/http/front.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 Front::Front(event::Loop& loop, const config::Config& config, config::AccountBook& accounts,
-             core::Core& core, Hooks hooks)
+             core::RequestCoordinator& core, Hooks hooks)
     : loop_(loop),
       config_(config),
       anonymous_plan_(config::plan_index(config, config.api().anonymous_plan())),
--- a/src/frontend/http/front.h
+++ b/src/frontend/http/front.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 
 #include "config/config.h"
-#include "core/core.h"
+#include "core/request_coordinator.h"
 #include "event/graveyard.h"
 #include "event/listener.h"
 #include "event/stream.h"
@@ -37,7 +37,7 @@
     };
     // All but `hooks` must outlive the front. Throws std::runtime_error where it cannot listen.
     Front(event::Loop& loop, const config::Config& config, config::AccountBook& accounts,
-          core::Core& core, Hooks hooks);
+          core::RequestCoordinator& core, Hooks hooks);
     ~Front();
 
     int port() const;
@@ -70,7 +70,7 @@
     event::Loop& loop_;
     const config::Config& config_;
     int anonymous_plan_;
-    core::Core& core_;
+    core::RequestCoordinator& core_;
     Hooks hooks_;
     Resolver resolver_;
     std::string via_;
--- a/src/frontend/http/translate.h
+++ b/src/frontend/http/translate.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "core/core.h"
+#include "core/client_request.h"
 #include "event/system_random.h"
 #include "frontend/http/resolve.h"
 #include "http/parser.h"
--- a/src/frontend/resp/front.cpp
+++ b/src/frontend/resp/front.cpp
@@ -18,7 +18,7 @@
 }
 
 Front::Front(event::Loop& loop, const config::Endpoint& listen, const platform::Judge& judge,
-             FrontLimits limits, core::Core& core, std::function<Micros()> clock)
+             FrontLimits limits, core::RequestCoordinator& core, std::function<Micros()> clock)
     : loop_(loop),
       judge_(judge),
       limits_(limits),
--- a/src/frontend/resp/front.h
+++ b/src/frontend/resp/front.h
@@ -16,7 +16,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/core.h"
+#include "core/request_coordinator.h"
 #include "event/graveyard.h"
 #include "event/listener.h"
 #include "event/stream.h"
@@ -59,7 +59,7 @@
     // `clock` gives the core's time. Throws std::runtime_error where the address cannot be listened
     // on.
     Front(event::Loop& loop, const config::Endpoint& listen, const platform::Judge& judge,
-          FrontLimits limits, core::Core& core, std::function<Micros()> clock);
+          FrontLimits limits, core::RequestCoordinator& core, std::function<Micros()> clock);
     ~Front();
 
     int port() const { return listener_->port(); }
@@ -118,7 +118,7 @@
     event::Loop& loop_;
     const platform::Judge& judge_;
     FrontLimits limits_;
-    core::Core& core_;
+    core::RequestCoordinator& core_;
     std::function<Micros()> clock_;
     std::function<void(const ClientClose&)> on_close_;
     std::unordered_map<RequestId, Open> requests_;
--- a/src/platform/request.h
+++ b/src/platform/request.h
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/core.h"
+#include "core/client_request.h"
 #include "platform/config.h"
 
 namespace silverreach::platform {
--- a/src/upstream/http/upstream.h
+++ b/src/upstream/http/upstream.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "core/core.h"
+#include "core/attempt_key.h"
 #include "event/graveyard.h"
 #include "event/stream.h"
 #include "http/parser.h"
--- a/src/upstream/resp/pool.h
+++ b/src/upstream/resp/pool.h
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/core.h"
+#include "core/attempt_key.h"
 #include "event/graveyard.h"
 #include "event/stream.h"
 #include "platform/request.h"
--- /dev/null
+++ b/tests/core/fake_environment.h
@@ -0,0 +1,61 @@
+// A RequestCoordinator with an environment that records what it is asked for, and a simulated
+// clock.
+#pragma once
+
+#include <functional>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "core/request_coordinator.h"
+
+namespace silverreach::core {
+
+class FakeEnvironment : public Environment {
+  public:
+    struct SentAttempt {
+        AttemptKey key;
+        std::string endpoint;
+    };
+    struct FinishedRequest {
+        RequestId id = 0;
+        FinalResponse response;
+    };
+
+    // Starts a coordinator with the endpoints "a", "b" and "c".
+    explicit FakeEnvironment(const Settings& settings);
+
+    RequestId start_request(Micros time_remaining = Micros{1'000'000});
+    // A successful response to a sent attempt starts now. True: it is forwarded to the client.
+    bool start_response(const SentAttempt& sent, Micros duration);
+    void fail_attempt(const SentAttempt& sent, Outcome outcome, Micros duration);
+    void end_response(RequestId id) { coordinator.on_response_ended(now, id, true); }
+    // Moves the clock; timers due on the way fire at their own times.
+    void advance(Micros duration);
+
+    void start_timer(Micros delay, Timer timer) override;
+    void send_attempt(const AttemptKey& key, const std::string& endpoint, Micros timeout) override;
+    void cancel_attempt(const AttemptKey& key) override { cancelled.push_back(key); }
+    bool withdraw_attempt(const AttemptKey& key) override;
+    void start_health_check(const std::string& /*endpoint*/) override {}
+    void send_message(int /*rank*/, const std::string& /*bytes*/) override {}
+    void finish_request(RequestId id, const FinalResponse& response) override;
+    void abort_response(RequestId id) override { aborted.push_back(id); }
+
+    Micros now{1'000'000};
+    std::vector<SentAttempt> sent;
+    std::vector<AttemptKey> cancelled;
+    std::vector<AttemptKey> withdrawn;
+    std::vector<FinishedRequest> finished;
+    std::vector<RequestId> aborted;
+    bool attempts_wait_for_connection = false;  // so that they can be withdrawn
+    std::function<void(const SentAttempt&)> on_send;
+
+  private:
+    std::multimap<Micros, Timer> timers_;  // by the time at which they are due
+
+  public:
+    RequestCoordinator coordinator;  // last: it calls the environment
+};
+
+}  // namespace silverreach::core
