--- a/src/benchlink/base64.cpp
+++ b/src/benchlink/base64.cpp
@@ -1,6 +1,7 @@
 #include "base64.h"
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
 
 namespace silverreach::benchlink {
@@ -8,44 +9,49 @@
 constexpr std::string_view alphabet =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-constexpr std::array<std::int8_t, 256> reverse = [] {
-    std::array<std::int8_t, 256> table{};
-    table.fill(-1);
-    for (std::size_t i = 0; i < alphabet.size(); ++i)
-        table[static_cast<unsigned char>(alphabet[i])] = static_cast<std::int8_t>(i);
-    return table;
+constexpr std::size_t bytes_per_group = 3;
+constexpr std::size_t digits_per_group = 4;
+
+// By character; negative: not in the alphabet.
+constexpr std::array<std::int8_t, 256> digit_values = [] {
+    std::array<std::int8_t, 256> values{};
+    values.fill(-1);
+    for (std::size_t value = 0; value < alphabet.size(); ++value)
+        values[static_cast<unsigned char>(alphabet[value])] = static_cast<std::int8_t>(value);
+    return values;
 }();
 }  // namespace
 
 void append_base64(std::string& out, std::string_view bytes) {
-    for (std::size_t i = 0; i < bytes.size(); i += 3) {
+    for (std::size_t start = 0; start < bytes.size(); start += bytes_per_group) {
         std::uint32_t group = 0;
-        for (std::size_t k = 0; k < 3; ++k)
-            group =
-                group << 8 | (i + k < bytes.size() ? static_cast<unsigned char>(bytes[i + k]) : 0u);
-        for (std::size_t k = 0; k < 4; ++k)
-            out.push_back(i + k <= bytes.size() ? alphabet[group >> (18 - 6 * k) & 63] : '=');
+        for (std::size_t at = start; at < start + bytes_per_group; ++at)
+            group = group << 8 | (at < bytes.size() ? static_cast<unsigned char>(bytes[at]) : 0U);
+        for (std::size_t digit = 0; digit < digits_per_group; ++digit) {
+            const bool padding = start + digit > bytes.size();
+            out.push_back(padding ? '=' : alphabet[group >> (18 - 6 * digit) & 63]);
+        }
     }
 }
 
 std::optional<std::string> from_base64(std::string_view text) {
-    if (text.size() % 4 != 0) return std::nullopt;
-    std::size_t pad = 0;
-    while (pad < 2 && pad < text.size() && text[text.size() - 1 - pad] == '=')
-        ++pad;
+    if (text.size() % digits_per_group != 0) return std::nullopt;
+    std::size_t padding = 0;
+    while (padding < 2 && padding < text.size() && text[text.size() - 1 - padding] == '=')
+        ++padding;
     std::string out;
-    for (std::size_t i = 0; i < text.size(); i += 4) {
+    for (std::size_t start = 0; start < text.size(); start += digits_per_group) {
         std::uint32_t group = 0;
-        for (std::size_t k = 0; k < 4; ++k) {
-            const bool padding = i + k >= text.size() - pad;
-            const int value = padding ? 0 : reverse[static_cast<unsigned char>(text[i + k])];
+        for (std::size_t at = start; at < start + digits_per_group; ++at) {
+            const bool is_padding = at >= text.size() - padding;
+            const int value = is_padding ? 0 : digit_values[static_cast<unsigned char>(text[at])];
             if (value < 0) return std::nullopt;
             group = group << 6 | static_cast<std::uint32_t>(value);
         }
         for (int shift = 16; shift >= 0; shift -= 8)
             out.push_back(static_cast<char>(group >> shift & 0xFF));
     }
-    out.resize(out.size() - pad);
+    out.resize(out.size() - padding);
     return out;
 }
 
--- a/src/benchlink/base64.h
+++ b/src/benchlink/base64.h
@@ -1,4 +1,4 @@
-// Base64 with padding.
+// Base64 (RFC 4648) with padding.
 #pragma once
 
 #include <optional>
@@ -8,7 +8,7 @@
 namespace silverreach::benchlink {
 
 void append_base64(std::string& out, std::string_view bytes);
-// Nothing where the text is not padded base64.
+// Nothing where the text is not base64 with padding.
 std::optional<std::string> from_base64(std::string_view text);
 
 }  // namespace silverreach::benchlink
--- /dev/null
+++ b/src/benchlink/event_reader.h
@@ -0,0 +1,37 @@
+// Reads the engine's events, and endpoint lists, from the wire. Each function throws
+// settings_json::ValueError where a value is missing or malformed.
+#pragma once
+
+#include <optional>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <vector>
+
+#include "silverreach/interface.h"
+#include "wire_message.h"
+
+namespace silverreach::benchlink {
+
+// Classes and plans go by name on the wire and by index in events.
+class SettingsIndex {
+  public:
+    explicit SettingsIndex(const Settings& settings);
+    std::optional<int> find_class(std::string_view name) const;
+    std::optional<int> find_plan(std::string_view name) const;
+
+  private:
+    std::unordered_map<std::string, int> classes_;
+    std::unordered_map<std::string, int> plans_;
+};
+
+std::vector<EndpointEntry> read_endpoint_list(const WireValues& values);
+RequestArrived read_request_arrived(const WireValues& values, const SettingsIndex& index);
+AttemptEnded read_attempt_ended(const WireValues& values);
+HealthCheckEnded read_health_check_ended(const WireValues& values);
+ClientDisconnected read_client_disconnected(const WireValues& values);
+PeerMessageReceived read_peer_message(const WireValues& values);
+// Nothing where the token is not one of this program.
+std::optional<TimerFired> read_timer_fired(const WireValues& values);
+
+}  // namespace silverreach::benchlink
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -1,18 +1,21 @@
+// Adapter between the simulator and the decision engine: reads the wire from standard input and
+// writes replies to standard output. Exit code 2 after a malformed line.
 #include <cstdio>
 #include <exception>
 #include <iostream>
 #include <string>
 
-#include "link.h"
+#include "bench_link.h"
 
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
     try {
-        silverreach::benchlink::Link link;
-        std::string line, out;
+        silverreach::benchlink::BenchLink link;
+        std::string line;
+        std::string out;
         while (std::getline(std::cin, line)) {
-            if (!link.take_line(line, out)) continue;
+            if (!link.handle_line(line, out)) continue;
             std::fwrite(out.data(), 1, out.size(), stdout);
             std::fflush(stdout);
             out.clear();
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -104,7 +104,7 @@
         fail("configuration", "one JSON object");
     try {
         return read_root(json::as_object(root, "configuration"), variable);
-    } catch (const json::BadValue& error) {
+    } catch (const json::ValueError& error) {
         throw std::invalid_argument(error.what());
     }
 }
--- a/src/platform/targets.cpp
+++ b/src/platform/targets.cpp
@@ -10,13 +10,13 @@
     if (text == "ready") return EndpointStatus::available;
     if (text == "draining") return EndpointStatus::draining;
     if (text == "gone") return EndpointStatus::removed;
-    json::bad("state", "ready, draining or gone");
+    throw json::ValueError("state", "ready, draining or gone");
 }
 
 Target read_target(json::object o) {
     Target t;
     t.entry.id = json::as_text(json::required(o, "uid"), "uid");
-    if (t.entry.id.empty()) json::bad("uid", "a name");
+    if (t.entry.id.empty()) throw json::ValueError("uid", "a name");
     t.entry.status = state_of(json::as_text(json::required(o, "state"), "state"));
     if (const auto e = json::optional_key(o, "az")) t.entry.zone = json::as_text(*e, "az");
     if (const auto e = json::optional_key(o, "model")) t.entry.kind = json::as_text(*e, "model");
@@ -28,7 +28,7 @@
     if (const auto e = json::optional_key(o, "endpoint"))
         t.endpoint = config::parse_endpoint(json::as_text(*e, "endpoint"));
     if (!t.endpoint && t.entry.status != EndpointStatus::removed)
-        json::bad("endpoint", "an IP address and port");
+        throw json::ValueError("endpoint", "an IP address and port");
     return t;
 }
 }  // namespace
@@ -40,7 +40,7 @@
     for (json::element e : json::as_array(json::required(o, "targets"), "targets"))
         list.targets.push_back(read_target(json::as_object(e, "targets[]")));
     return list;
-} catch (const json::BadValue&) {
+} catch (const json::ValueError&) {
     return std::nullopt;
 }
 
--- a/src/settings_json/settings_json.cpp
+++ b/src/settings_json/settings_json.cpp
@@ -1,162 +1,127 @@
 #include "settings_json/settings_json.h"
 
-#include <cmath>
-#include <string>
+#include <string_view>
 
 namespace silverreach::settings_json {
 namespace {
-constexpr double most_integer = 4e18;
-}  // namespace
 
-void bad(std::string_view what, std::string_view expected) {
-    throw BadValue(std::string(what) + ": expected " + std::string(expected));
-}
+// An optional key of the wire and the member that it sets.
+template <class Struct, class Member>
+struct Field {
+    std::string_view key;
+    Member Struct::*member;
+};
+template <class Struct, class Member>
+Field(const char*, Member Struct::*) -> Field<Struct, Member>;
 
-double as_number(element e, std::string_view what) {
-    double value = 0;
-    if (e.get(value) != simdjson::SUCCESS) bad(what, "a number");
-    return value;
-}
-std::int64_t as_integer(element e, std::string_view what) {
-    std::int64_t value = 0;
-    if (e.get(value) == simdjson::SUCCESS) return value;
-    const double wide = as_number(e, what);
-    if (wide != std::floor(wide) || std::abs(wide) > most_integer) bad(what, "an integer");
-    return static_cast<std::int64_t>(wide);
-}
-std::uint64_t as_unsigned(element e, std::string_view what) {
-    std::uint64_t value = 0;
-    if (e.get(value) != simdjson::SUCCESS) bad(what, "a whole number not below 0");
-    return value;
-}
-std::string_view as_text(element e, std::string_view what) {
-    std::string_view value;
-    if (e.get(value) != simdjson::SUCCESS) bad(what, "text");
-    return value;
-}
-bool as_bool(element e, std::string_view what) {
-    bool value = false;
-    if (e.get(value) != simdjson::SUCCESS) bad(what, "true or false");
-    return value;
-}
-array as_array(element e, std::string_view what) {
-    array value;
-    if (e.get(value) != simdjson::SUCCESS) bad(what, "an array");
-    return value;
-}
-object as_object(element e, std::string_view what) {
-    object value;
-    if (e.get(value) != simdjson::SUCCESS) bad(what, "an object");
-    return value;
+template <class Struct, class... Members>
+void read_fields(object source, Struct& target, const Field<Struct, Members>&... fields) {
+    (read(source, fields.key, target.*(fields.member)), ...);
 }
 
-element required(object o, std::string_view key) {
-    element e;
-    if (o[key].get(e) != simdjson::SUCCESS)
-        bad("setting '" + std::string(key) + "' is missing", "a value");
-    return e;
+Idempotency read_idempotency(object source) {
+    const std::string_view effect = as_text(required(source, "effect"), "effect");
+    if (effect == "retryable") return Idempotency::idempotent;
+    if (effect == "dedup") return Idempotency::idempotency_key;
+    if (effect == "fragile") return Idempotency::non_idempotent;
+    throw ValueError("effect", "retryable, dedup or fragile");
 }
-std::optional<element> optional_key(object o, std::string_view key) {
-    element e;
-    if (o[key].get(e) != simdjson::SUCCESS || e.is_null()) return std::nullopt;
-    return e;
+
+DeduplicationScope read_deduplication_scope(element source) {
+    const std::string_view scope = as_text(source, "dedupScope");
+    if (scope == "all") return DeduplicationScope::all;
+    if (scope == "zone") return DeduplicationScope::zone;
+    return DeduplicationScope::cell;
 }
-void read(object o, std::string_view key, double& into) {
-    if (auto e = optional_key(o, key)) into = as_number(*e, key);
+
+LoadReportMode read_load_report_mode(object source) {
+    const std::string_view mode = as_text(required(source, "how"), "how");
+    if (mode == "inline") return LoadReportMode::in_responses;
+    if (mode == "on_probe") return LoadReportMode::on_health_check;
+    return LoadReportMode::none;
 }
-void read(object o, std::string_view key, int& into) {
-    if (auto e = optional_key(o, key)) into = static_cast<int>(as_integer(*e, key));
+
+RequestClass read_class(object source) {
+    RequestClass request_class;
+    request_class.name = as_text(required(source, "name"), "name");
+    request_class.idempotency = read_idempotency(source);
+    if (const auto scope = optional_key(source, "dedupScope"))
+        request_class.deduplication_scope = read_deduplication_scope(*scope);
+    request_class.deadline = Micros(as_integer(required(source, "deadlineUs"), "deadlineUs"));
+    request_class.latency_objective = request_class.deadline;
+    read_fields(source, request_class,  //
+                Field{"promiseUs", &RequestClass::latency_objective},
+                Field{"repeatWindowUs", &RequestClass::deduplication_window},
+                Field{"value", &RequestClass::priority_weight},
+                Field{"lateWorth", &RequestClass::late_weight_factor});
+    return request_class;
 }
-void read(object o, std::string_view key, bool& into) {
-    if (auto e = optional_key(o, key)) into = as_bool(*e, key);
+
+Plan read_plan(object source) {
+    Plan plan;
+    plan.name = as_text(required(source, "name"), "name");
+    read_fields(source, plan,  //
+                Field{"rate", &Plan::rate}, Field{"mostAtOnce", &Plan::burst},
+                Field{"maxOut", &Plan::max_concurrent_attempts},
+                Field{"worthFactor", &Plan::priority_factor},
+                Field{"excessWorth", &Plan::excess_weight_factor},
+                Field{"excessCost", &Plan::excess_cost_factor},
+                Field{"hardRate", &Plan::ceiling_rate}, Field{"hardBurst", &Plan::ceiling_burst});
+    return plan;
 }
-void read(object o, std::string_view key, Micros& into) {
-    if (auto e = optional_key(o, key)) into = Micros(as_integer(*e, key));
+
+void read_place_in_fleet(object source, Settings& settings) {
+    settings.rank = static_cast<int>(as_integer(required(source, "rank"), "rank"));
+    settings.instance_count =
+        static_cast<int>(as_integer(required(source, "instances"), "instances"));
+    if (const auto zone = optional_key(source, "locality"))
+        settings.zone = as_text(*zone, "locality");
 }
 
-namespace {
-RequestClass read_class(object o) {
-    RequestClass c;
-    c.name = as_text(required(o, "name"), "name");
-    const std::string_view effect = as_text(required(o, "effect"), "effect");
-    if (effect == "retryable")
-        c.idempotency = Idempotency::idempotent;
-    else if (effect == "dedup")
-        c.idempotency = Idempotency::idempotency_key;
-    else if (effect == "fragile")
-        c.idempotency = Idempotency::non_idempotent;
-    else
-        bad("effect", "retryable, dedup or fragile");
-    if (auto scope = optional_key(o, "dedupScope")) {
-        const std::string_view name = as_text(*scope, "dedupScope");
-        c.deduplication_scope = name == "all"    ? DeduplicationScope::all
-                                : name == "zone" ? DeduplicationScope::zone
-                                                 : DeduplicationScope::cell;
-    }
-    c.deadline = Micros(as_integer(required(o, "deadlineUs"), "deadlineUs"));
-    c.latency_objective = c.deadline;
-    read(o, "promiseUs", c.latency_objective);
-    read(o, "repeatWindowUs", c.deduplication_window);
-    read(o, "value", c.priority_weight);
-    read(o, "lateWorth", c.late_weight_factor);
-    return c;
+void read_classes_and_plans(object source, Settings& settings) {
+    for (element item : as_array(required(source, "requestClasses"), "requestClasses"))
+        settings.classes.push_back(read_class(as_object(item, "requestClasses[]")));
+    const auto plans = optional_key(source, "tiersOfService");
+    if (!plans) return;
+    for (element item : as_array(*plans, "tiersOfService"))
+        settings.plans.push_back(read_plan(as_object(item, "tiersOfService[]")));
 }
 
-Plan read_plan(object o) {
-    Plan p;
-    p.name = as_text(required(o, "name"), "name");
-    read(o, "rate", p.rate);
-    read(o, "mostAtOnce", p.burst);
-    read(o, "maxOut", p.max_concurrent_attempts);
-    read(o, "worthFactor", p.priority_factor);
-    read(o, "excessWorth", p.excess_weight_factor);
-    read(o, "excessCost", p.excess_cost_factor);
-    read(o, "hardRate", p.ceiling_rate);
-    read(o, "hardBurst", p.ceiling_burst);
-    return p;
+void read_permissions(object source, Settings& settings) {
+    read_fields(as_object(required(source, "ceilings"), "ceilings"), settings,
+                Field{"maxAttempts", &Settings::max_attempts},
+                Field{"mayDuplicate", &Settings::may_hedge}, Field{"cancel", &Settings::may_cancel},
+                Field{"probes", &Settings::may_health_check},
+                Field{"peers", &Settings::may_message_peers},
+                Field{"retryAfter", &Settings::may_send_retry_after},
+                Field{"maxRetryAfterUs", &Settings::max_retry_after});
+    if (const auto family = optional_key(source, "familyInfo"))
+        read_fields(as_object(*family, "familyInfo"), settings,
+                    Field{"mailPerS", &Settings::peer_messages_per_second},
+                    Field{"truedUp", &Settings::units_corrected_by_response});
+    if (const auto reporting = optional_key(source, "reporting"))
+        settings.load_report_mode = read_load_report_mode(as_object(*reporting, "reporting"));
 }
 
+void read_endpoint_behaviour(object source, Settings& settings) {
+    read_fields(as_object(required(source, "guarantees"), "guarantees"), settings,
+                Field{"coldUs", &Settings::slow_start_window},
+                Field{"fallUs", &Settings::overload_window},
+                Field{"overloadFactor", &Settings::overload_factor},
+                Field{"startCapacity", &Settings::initial_capacity_share});
+    read(source, "tickUs", settings.timer_tick);
+    if (const auto costs = optional_key(source, "costs"))
+        read(as_object(*costs, "costs"), "crossZone", settings.cross_zone_cost);
+}
 }  // namespace
 
-Settings read_settings(object o) {
-    Settings s;
-    s.rank = static_cast<int>(as_integer(required(o, "rank"), "rank"));
-    s.instance_count = static_cast<int>(as_integer(required(o, "instances"), "instances"));
-    if (auto zone = optional_key(o, "locality")) s.zone = as_text(*zone, "locality");
-    for (element e : as_array(required(o, "requestClasses"), "requestClasses"))
-        s.classes.push_back(read_class(as_object(e, "requestClasses[]")));
-    if (auto plans = optional_key(o, "tiersOfService"))
-        for (element e : as_array(*plans, "tiersOfService"))
-            s.plans.push_back(read_plan(as_object(e, "tiersOfService[]")));
-    const object limits = as_object(required(o, "ceilings"), "ceilings");
-    read(limits, "maxAttempts", s.max_attempts);
-    read(limits, "mayDuplicate", s.may_hedge);
-    read(limits, "cancel", s.may_cancel);
-    read(limits, "probes", s.may_health_check);
-    read(limits, "peers", s.may_message_peers);
-    read(limits, "retryAfter", s.may_send_retry_after);
-    read(limits, "maxRetryAfterUs", s.max_retry_after);
-    if (auto e = optional_key(o, "familyInfo")) {
-        const object info = as_object(*e, "familyInfo");
-        read(info, "mailPerS", s.peer_messages_per_second);
-        read(info, "truedUp", s.units_corrected_by_response);
-    }
-    if (auto e = optional_key(o, "reporting")) {
-        const object reports = as_object(*e, "reporting");
-        const std::string_view how = as_text(required(reports, "how"), "how");
-        s.load_report_mode = how == "inline"     ? LoadReportMode::in_responses
-                             : how == "on_probe" ? LoadReportMode::on_health_check
-                                                 : LoadReportMode::none;
-    }
-    const object rules = as_object(required(o, "guarantees"), "guarantees");
-    read(rules, "coldUs", s.slow_start_window);
-    read(rules, "fallUs", s.overload_window);
-    read(rules, "overloadFactor", s.overload_factor);
-    read(rules, "startCapacity", s.initial_capacity_share);
-    read(o, "tickUs", s.timer_tick);
-    if (auto e = optional_key(o, "costs"))
-        read(as_object(*e, "costs"), "crossZone", s.cross_zone_cost);
-    return s;
+Settings read_settings(object source) {
+    Settings settings;
+    read_place_in_fleet(source, settings);
+    read_classes_and_plans(source, settings);
+    read_permissions(source, settings);
+    read_endpoint_behaviour(source, settings);
+    return settings;
 }
 
 }  // namespace silverreach::settings_json
