--- a/bench/bare_relay.cpp
+++ b/bench/bare_relay.cpp
@@ -43,7 +43,7 @@
     : loop_(loop),
       hosts_(std::move(hosts)),
       upstream_(std::make_unique<upstream_http::Upstream>(
-          loop, config, static_cast<upstream_http::Events&>(*this))) {
+          loop, config, static_cast<upstream_http::AttemptCallbacks&>(*this))) {
     listener_ = std::make_unique<event::Listener>(
         loop, "127.0.0.1", 0, false, [] { return true; },
         [this](event::Fd fd, std::string) {
@@ -54,22 +54,22 @@
 }
 BareRelay::~BareRelay() = default;
 
-bool BareRelay::answer_begins(const core::AttemptKey& key, const std::string&, Micros,
-                              const LoadReport&, http::Head& head) {
+bool BareRelay::on_response_started(const core::AttemptKey& key, const std::string&, Micros,
+                                    const LoadReport&, http::Head& head) {
     Connection& c = *by_id_.at(key.request);
     c.stream.write(front::head_for_client(head, c.side, c.identity.request_id, "relay", c.framing));
     return true;
 }
-void BareRelay::answer_body(const core::AttemptKey& key, std::string_view bytes) {
+void BareRelay::on_response_body(const core::AttemptKey& key, std::string_view bytes) {
     by_id_.at(key.request)->stream.write(bytes);
 }
-void BareRelay::answer_ended(const core::AttemptKey& key, bool, const http::Fields&) {
+void BareRelay::on_response_ended(const core::AttemptKey& key, bool, const http::Fields&) {
     Connection& c = *by_id_.at(key.request);
     by_id_.erase(key.request);
     c.parser.next();
 }
-void BareRelay::attempt_ended(const core::AttemptKey& key, const std::string&, Outcome, Micros,
-                              const LoadReport&, int) {
+void BareRelay::on_attempt_ended(const core::AttemptKey& key, const std::string&, Outcome, Micros,
+                                 const LoadReport&, int) {
     by_id_.at(key.request)->stream.close();
     by_id_.erase(key.request);
 }
--- a/bench/bare_relay.h
+++ b/bench/bare_relay.h
@@ -12,7 +12,7 @@
 
 namespace silverreach::bench {
 
-class BareRelay : private upstream_http::Events {
+class BareRelay : private upstream_http::AttemptCallbacks {
   public:
     BareRelay(event::Loop& loop, const config::Config& config, std::vector<std::string> hosts);
     ~BareRelay();
@@ -20,14 +20,14 @@
 
   private:
     struct Connection;
-    bool hand_over(const core::AttemptKey&) override { return true; }
-    bool answer_begins(const core::AttemptKey& key, const std::string&, Micros, const LoadReport&,
-                       http::Head& head) override;
-    void answer_body(const core::AttemptKey& key, std::string_view bytes) override;
-    void answer_ended(const core::AttemptKey& key, bool whole, const http::Fields&) override;
-    void attempt_ended(const core::AttemptKey& key, const std::string&, Outcome, Micros,
-                       const LoadReport&, int) override;
-    void probe_ended(HealthCheckEnded) override {}
+    bool begin_send(const core::AttemptKey&) override { return true; }
+    bool on_response_started(const core::AttemptKey& key, const std::string&, Micros,
+                             const LoadReport&, http::Head& head) override;
+    void on_response_body(const core::AttemptKey& key, std::string_view bytes) override;
+    void on_response_ended(const core::AttemptKey& key, bool whole, const http::Fields&) override;
+    void on_attempt_ended(const core::AttemptKey& key, const std::string&, Outcome, Micros,
+                          const LoadReport&, int) override;
+    void on_health_check_ended(HealthCheckEnded) override {}
     event::Loop& loop_;
     std::vector<std::string> hosts_;
     std::unique_ptr<upstream_http::Upstream> upstream_;
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -58,7 +58,7 @@
         std::make_unique<core::Core>(config::settings_of(config), config.peers().account_spread(),
                                      seed, loop.now(), static_cast<core::Environment&>(*this));
     upstream_ = std::make_unique<upstream_http::Upstream>(
-        loop, config, static_cast<upstream_http::Events&>(*this));
+        loop, config, static_cast<upstream_http::AttemptCallbacks&>(*this));
     if (config.has_peers())
         peers_ = std::make_unique<peers::Peers>(loop, config, [this](int rank, std::string bytes) {
             core_->on_peer_message(loop_.now(), {rank, std::move(bytes)});
@@ -198,7 +198,7 @@
 
 void Instance::hosts_changed(std::vector<EndpointEntry> hosts) {
     log_.write(log::Level::info, "hosts", {{"listed", whole(hosts.size())}});
-    upstream_->keep_only(hosts);
+    upstream_->update_hosts(hosts);
     core_->on_endpoints_changed(loop_.now(), {true, std::move(hosts)});
 }
 
@@ -221,7 +221,7 @@
     return upstream_->withdraw(key);
 }
 void Instance::start_health_check(const std::string& host) {
-    upstream_->probe(host);
+    upstream_->start_health_check(host);
 }
 void Instance::send_message(int rank, const std::string& bytes) {
     if (peers_) peers_->send(rank, bytes);
@@ -233,29 +233,31 @@
     front_->cut(id);
 }
 
-// ---- upstream_http::Events
+// ---- upstream_http::AttemptCallbacks
 // ------------------------------------------------------------------------------------
 
-bool Instance::hand_over(const core::AttemptKey& key) {
+bool Instance::begin_send(const core::AttemptKey& key) {
     front_->look_for_client(key.request);
     return core_->begin_send(event::Loop::clock(), key).has_value();
 }
-bool Instance::answer_begins(const core::AttemptKey& key, const std::string& host, Micros took,
-                             const LoadReport& report, http::Head& head) {
+bool Instance::on_response_started(const core::AttemptKey& key, const std::string& host,
+                                   Micros took, const LoadReport& report, http::Head& head) {
     if (!core_->on_response_started(loop_.now(), key, host, took, report)) return false;
     front_->answer_begins(key.request, host, head,
-                          [this, key](bool pause) { upstream_->read(key, !pause); });
+                          [this, key](bool pause) { upstream_->set_reading(key, !pause); });
     return true;
 }
-void Instance::answer_body(const core::AttemptKey& key, std::string_view bytes) {
+void Instance::on_response_body(const core::AttemptKey& key, std::string_view bytes) {
     front_->answer_body(key.request, bytes);
 }
-void Instance::answer_ended(const core::AttemptKey& key, bool whole, const http::Fields& trailers) {
+void Instance::on_response_ended(const core::AttemptKey& key, bool whole,
+                                 const http::Fields& trailers) {
     core_->on_response_ended(loop_.now(), key.request, whole);
     front_->answer_ended(key.request, whole, trailers);
 }
-void Instance::attempt_ended(const core::AttemptKey& key, const std::string& host, Outcome outcome,
-                             Micros took, const LoadReport& report, int status) {
+void Instance::on_attempt_ended(const core::AttemptKey& key, const std::string& host,
+                                Outcome outcome, Micros took, const LoadReport& report,
+                                int status) {
     if (log_.wants(log::Level::debug))
         log_.write(log::Level::debug, "attempt",
                    {{"request", whole(key.request)},
@@ -266,7 +268,7 @@
                     {"took_us", static_cast<std::int64_t>(took.count())}});
     core_->on_attempt_ended(loop_.now(), key, host, outcome, took, report);
 }
-void Instance::probe_ended(HealthCheckEnded ended) {
+void Instance::on_health_check_ended(HealthCheckEnded ended) {
     core_->on_health_check_ended(loop_.now(), std::move(ended));
 }
 
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -20,7 +20,7 @@
 
 namespace silverreach::cli {
 
-class Instance : private core::Environment, private upstream_http::Events {
+class Instance : private core::Environment, private upstream_http::AttemptCallbacks {
   public:
     // `folder`: what relative names in the configuration start from. Throws std::runtime_error with
     // a plain message where a socket, file or the description is not to be had.
@@ -46,16 +46,16 @@
     void send_message(int rank, const std::string& bytes) override;
     void finish_request(RequestId id, const core::FinalResponse& answer) override;
     void abort_response(RequestId id) override;
-    // ---- upstream_http::Events ----
-    bool hand_over(const core::AttemptKey& key) override;
-    bool answer_begins(const core::AttemptKey& key, const std::string& host, Micros took,
-                       const LoadReport& report, http::Head& head) override;
-    void answer_body(const core::AttemptKey& key, std::string_view bytes) override;
-    void answer_ended(const core::AttemptKey& key, bool whole,
-                      const http::Fields& trailers) override;
-    void attempt_ended(const core::AttemptKey& key, const std::string& host, Outcome outcome,
-                       Micros took, const LoadReport& report, int status) override;
-    void probe_ended(HealthCheckEnded ended) override;
+    // ---- upstream_http::AttemptCallbacks ----
+    bool begin_send(const core::AttemptKey& key) override;
+    bool on_response_started(const core::AttemptKey& key, const std::string& host, Micros took,
+                             const LoadReport& report, http::Head& head) override;
+    void on_response_body(const core::AttemptKey& key, std::string_view bytes) override;
+    void on_response_ended(const core::AttemptKey& key, bool whole,
+                           const http::Fields& trailers) override;
+    void on_attempt_ended(const core::AttemptKey& key, const std::string& host, Outcome outcome,
+                          Micros took, const LoadReport& report, int status) override;
+    void on_health_check_ended(HealthCheckEnded ended) override;
 
     std::shared_ptr<const openapi::Description> read_description(
         std::vector<openapi::Problem>& problems) const;
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -46,14 +46,16 @@
                                          static_cast<core::Environment&>(*this));
     const auto sockets =
         static_cast<std::size_t>(std::max(8, descriptors(config_.limits) - reserved_descriptors));
-    upstream_resp::PoolLimits pool;
-    pool.connections = sockets / 2;
-    pool.connect = config_.connect_timeout, pool.probe = config_.connect_timeout;
-    pool.idle = std::max<Micros>(config_.idle / 2, config_.idle - idle_reserve);
-    pool.kept_bytes = static_cast<std::size_t>(config_.limits.memory_mb) * 1024 * 1024 / 8;
-    pool.ask_load = config_.settings.load_report_mode != LoadReportMode::none;
+    upstream_resp::UpstreamLimits upstream;
+    upstream.max_connections = sockets / 2;
+    upstream.connect_timeout = config_.connect_timeout;
+    upstream.health_check_timeout = config_.connect_timeout;
+    upstream.idle_timeout = std::max<Micros>(config_.idle / 2, config_.idle - idle_reserve);
+    upstream.max_buffered_bytes =
+        static_cast<std::size_t>(config_.limits.memory_mb) * 1024 * 1024 / 8;
+    upstream.request_load_report = config_.settings.load_report_mode != LoadReportMode::none;
     upstream_ = std::make_unique<upstream_resp::Upstream>(
-        loop, pool, static_cast<upstream_resp::Events&>(*this));
+        loop, upstream, static_cast<upstream_resp::AttemptCallbacks&>(*this));
     if (config_.peer_listen && config_.settings.may_message_peers)
         peers_ = std::make_unique<peers::PlainPeers>(
             loop, *config_.peer_listen, config_.peers, config_.peers_all, config_.settings.rank,
@@ -64,13 +66,13 @@
     known.whole = true;
     hosts_changed(known);
     frontend::resp::FrontLimits limits;
-    const std::size_t clients = sockets - pool.connections;
+    const std::size_t clients = sockets - upstream.max_connections;
     limits.lingering = clients / 8;
     limits.connections = clients - limits.lingering;
     limits.kept_bytes = static_cast<std::size_t>(config_.limits.memory_mb) * 1024 * 1024 / 16;
     front_ = std::make_unique<frontend::resp::Front>(loop, config_.listen, judge_, limits, *core_,
                                                      [this] { return now(); });
-    front_->on_shortage([this] { return upstream_->give_up_idle() || front_->give_up_idle(); });
+    front_->on_shortage([this] { return upstream_->evict_unused() || front_->give_up_idle(); });
     front_->on_close([this](const frontend::resp::ClientClose& close) {
         if (!log_.wants(log::Level::debug)) return;
         log_.write(log::Level::debug, "client_closed",
@@ -98,13 +100,13 @@
                {{"revision", list.revision},
                 {"whole", std::int64_t{list.whole}},
                 {"listed", whole(list.targets.size())}});
-    upstream_->hosts_changed(list);
+    upstream_->update_hosts(list);
     EndpointsChanged change;
     change.complete = list.whole;
     for (const platform::Target& t : list.targets)
         change.endpoints.push_back(t.entry);
     core_->on_endpoints_changed(now(), std::move(change));
-    upstream_->take_back_unlisted();
+    upstream_->return_unsent_to_unlisted();
 }
 
 void Node::reload(const platform::NodeConfig& fresh) {
@@ -145,7 +147,9 @@
 
 log::Fields Node::traffic_fields() const {
     const core::Counters& c = core_->counters();
-    const auto up = upstream_->stats();
+    const upstream_resp::Upstream::Stats upstream = upstream_->stats();
+    const auto& connections = upstream.connections;
+    const auto& responses = upstream.responses;
     const auto f = front_->stats();
     rusage use{};
     getrusage(RUSAGE_SELF, &use);
@@ -179,15 +183,15 @@
             {"broken", whole(f.broken)},
             {"silent", whole(f.silent)},
             {"turned_away", whole(f.turned_away)},
-            {"hosts", whole(up.hosts)},
-            {"host_connections", whole(up.open)},
-            {"opened", whole(up.opened)},
-            {"reused", whole(up.reused)},
-            {"stale", whole(up.stale)},
-            {"spoilt", whole(up.spoilt)},
-            {"more", whole(up.more)},
-            {"full", whole(up.full)},
-            {"stopped", whole(up.stopped)},
+            {"hosts", whole(connections.hosts)},
+            {"host_connections", whole(connections.open)},
+            {"opened", whole(connections.opened)},
+            {"reused", whole(connections.reused)},
+            {"stale", whole(connections.stale)},
+            {"spoilt", whole(responses.malformed)},
+            {"more", whole(connections.unsolicited + responses.trailing_bytes)},
+            {"full", whole(connections.full)},
+            {"stopped", whole(responses.stalled)},
             {"peers_sent", whole(peers_ ? peers_->stats().sent : 0)},
             {"peers_received", whole(peers_ ? peers_->stats().received : 0)},
             {"peers_dropped", whole(peers_ ? peers_->stats().dropped : 0)},
@@ -247,9 +251,9 @@
 void Node::send_attempt(const core::AttemptKey& key, const std::string& host, Micros) {
     auto command = front_->out_command(key.request);
     if (!command) {
-        upstream_resp::Answer moot;
-        moot.outcome = Outcome::not_started;
-        return attempt_ended(key, host, 0us, std::move(moot));
+        upstream_resp::HostResponse none;
+        none.outcome = Outcome::not_started;
+        return on_attempt_ended(key, host, 0us, std::move(none));
     }
     if (log_.wants(log::Level::debug))
         trace("attempt", key.request,
@@ -265,7 +269,7 @@
     return upstream_->withdraw(key);
 }
 void Node::start_health_check(const std::string& host) {
-    upstream_->probe(host);
+    upstream_->start_health_check(host);
 }
 void Node::send_message(int rank, const std::string& bytes) {
     if (peers_) peers_->send(rank, bytes);
@@ -291,32 +295,34 @@
            {"why", std::string(rules::to_string(why))}});
 }
 
-// ---- upstream_resp::Events
+// ---- upstream_resp::AttemptCallbacks
 // -------------------------------------------------------------------------------
 
-std::optional<Micros> Node::hand_over(const core::AttemptKey& key) {
+std::optional<Micros> Node::begin_send(const core::AttemptKey& key) {
     front_->look_for_client(key.request);
     // Read afresh: the turn may have taken long since it began.
     return core_->begin_send(event::Loop::clock() + offset_, key);
 }
-void Node::attempt_ended(const core::AttemptKey& key, const std::string& host, Micros took,
-                         upstream_resp::Answer answer) {
-    ++ended_[static_cast<std::size_t>(answer.outcome)];
+void Node::on_attempt_ended(const core::AttemptKey& key, const std::string& host, Micros elapsed,
+                            upstream_resp::HostResponse response) {
+    ++ended_[static_cast<std::size_t>(response.outcome)];
     if (log_.wants(log::Level::debug))
         trace("attempt_ended", key.request,
               {{"attempt", std::int64_t{key.attempt}},
                {"host", host},
-               {"outcome", outcome_texts[static_cast<std::size_t>(answer.outcome)]},
-               {"took_us", std::int64_t{took.count()}}});
-    if (answer.outcome != Outcome::success)
-        return core_->on_attempt_ended(now(), key, host, answer.outcome, took, answer.report);
-    if (core_->on_response_started(now(), key, host, took, answer.report, answer.true_units)) {
+               {"outcome", outcome_texts[static_cast<std::size_t>(response.outcome)]},
+               {"took_us", std::int64_t{elapsed.count()}}});
+    if (response.outcome != Outcome::success)
+        return core_->on_attempt_ended(now(), key, host, response.outcome, elapsed,
+                                       response.report);
+    if (core_->on_response_started(now(), key, host, elapsed, response.report,
+                                   response.actual_units)) {
         trace("served", key.request, {{"attempt", std::int64_t{key.attempt}}, {"host", host}});
-        front_->answer(key.request, answer.value);
+        front_->answer(key.request, response.value);
         core_->on_response_ended(now(), key.request, true);
     }
 }
-void Node::probe_ended(HealthCheckEnded ended) {
+void Node::on_health_check_ended(HealthCheckEnded ended) {
     core_->on_health_check_ended(now(), std::move(ended));
 }
 
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -15,11 +15,11 @@
 #include "log/log.h"
 #include "peers/plain.h"
 #include "platform/config.h"
-#include "upstream/resp/pool.h"
+#include "upstream/resp/upstream.h"
 
 namespace silverreach::cli {
 
-class Node : private core::Environment, private upstream_resp::Events {
+class Node : private core::Environment, private upstream_resp::AttemptCallbacks {
   public:
     // Throws std::runtime_error with a plain message where a socket is not to be had.
     Node(event::Loop& loop, platform::NodeConfig config, log::Log& log);
@@ -48,11 +48,11 @@
     void abort_response(RequestId id) override;
     void on_attempt_blocked(const core::AttemptKey& key, const std::string& host,
                             rules::BlockReason why) override;
-    // ---- upstream_resp::Events ----
-    std::optional<Micros> hand_over(const core::AttemptKey& key) override;
-    void attempt_ended(const core::AttemptKey& key, const std::string& host, Micros took,
-                       upstream_resp::Answer answer) override;
-    void probe_ended(HealthCheckEnded ended) override;
+    // ---- upstream_resp::AttemptCallbacks ----
+    std::optional<Micros> begin_send(const core::AttemptKey& key) override;
+    void on_attempt_ended(const core::AttemptKey& key, const std::string& host, Micros elapsed,
+                          upstream_resp::HostResponse response) override;
+    void on_health_check_ended(HealthCheckEnded ended) override;
 
     Micros now() const { return loop_.now() + offset_; }
     void hosts_changed(const platform::TargetList& list);
--- /dev/null
+++ b/src/upstream/common/attempt_table.h
@@ -0,0 +1,30 @@
+// The connections that carry attempts, by attempt. Loop thread only; owns nothing.
+#pragma once
+
+#include <unordered_map>
+
+#include "core/core.h"
+
+namespace silverreach::upstream {
+
+// The key of exchanges that belong to no attempt: health checks.
+inline constexpr core::AttemptKey health_check_key{0, -1};
+
+template <class Connection>
+class AttemptTable {
+  public:
+    void insert(const core::AttemptKey& key, Connection& connection) {
+        connections_[key] = &connection;
+    }
+    void erase(const core::AttemptKey& key) { connections_.erase(key); }
+    // Null for an attempt that has ended or was never sent.
+    Connection* find(const core::AttemptKey& key) const {
+        const auto it = connections_.find(key);
+        return it == connections_.end() ? nullptr : it->second;
+    }
+
+  private:
+    std::unordered_map<core::AttemptKey, Connection*, core::AttemptKeyHash> connections_;
+};
+
+}  // namespace silverreach::upstream
--- /dev/null
+++ b/src/upstream/common/connection_pool.cpp
@@ -0,0 +1,232 @@
+#include "upstream/common/connection_pool.h"
+
+#include <algorithm>
+#include <cerrno>
+#include <utility>
+
+namespace silverreach::upstream {
+namespace {
+HostConnections::List::iterator find_in(HostConnections::List& list,
+                                        const PooledConnection& connection) {
+    return std::find_if(list.begin(), list.end(),
+                        [&](const auto& entry) { return entry.get() == &connection; });
+}
+
+std::unique_ptr<PooledConnection> extract_unordered(HostConnections::List& list,
+                                                    HostConnections::List::iterator at) {
+    auto connection = std::move(*at);
+    *at = std::move(list.back());
+    list.pop_back();
+    return connection;
+}
+
+std::unique_ptr<PooledConnection> extract_ordered(HostConnections::List& list,
+                                                  HostConnections::List::iterator at) {
+    auto connection = std::move(*at);
+    list.erase(at);
+    return connection;
+}
+}  // namespace
+
+Outcome outcome_of(AcquireError error) {
+    switch (error) {
+        case AcquireError::pool_limit_reached:
+        case AcquireError::local_shortage:
+            return Outcome::not_started;
+        default:
+            return Outcome::connect_failed;
+    }
+}
+
+ConnectionPool::ConnectionPool(event::Loop& loop, PoolPolicy policy, Factory factory)
+    : loop_(loop), policy_(policy), factory_(std::move(factory)), retired_(loop) {
+    sweep();
+}
+
+// ---- hosts ----
+
+HostConnections* ConnectionPool::find_host(const std::string& host) const {
+    const auto it = hosts_.find(host);
+    return it == hosts_.end() ? nullptr : it->second.get();
+}
+
+void ConnectionPool::add_host(const std::string& host, std::optional<config::Endpoint> address) {
+    auto& entry = hosts_[host];
+    if (entry) return;
+    entry = std::make_unique<HostConnections>();
+    entry->host = host;
+    entry->address = std::move(address);
+}
+
+void ConnectionPool::update_hosts(bool complete, const std::vector<HostUpdate>& updates) {
+    if (complete)
+        for (auto& [name, host] : hosts_)
+            host->listed = false;
+    for (const HostUpdate& update : updates) {
+        add_host(update.host, std::nullopt);
+        HostConnections& host = *find_host(update.host);
+        host.listed = update.available;
+        if (update.address) host.address = update.address;
+    }
+    for (auto& [name, host] : hosts_)
+        close_unused(*host, [&host = *host](const PooledConnection& connection) {
+            return !host.listed || !connection.opened_to(host.address);
+        });
+}
+
+// ---- acquire and release ----
+
+std::variant<PooledConnection*, AcquireError> ConnectionPool::acquire(
+    const std::string& host, const ExchangeTraits& traits) {
+    HostConnections* connections = find_host(host);
+    if (!connections) return AcquireError::unknown_host;
+    if (PooledConnection* idle = take_idle(*connections, traits.idempotent)) return idle;
+    if (!connections->address) return AcquireError::unknown_host;
+    if (!traits.health_check && connections->in_use.size() >= policy_.max_in_use_per_host)
+        return AcquireError::host_limit_reached;
+    return open_connection(*connections);
+}
+
+// A host may close an idle connection just as a request is written to it. The request then ends as
+// one that may have run, which only an idempotent one survives.
+PooledConnection* ConnectionPool::take_idle(HostConnections& host, bool idempotent) {
+    while (!host.idle.empty()) {
+        const Micros idle_time = loop_.now() - host.idle.back()->unused_since();
+        if (!idempotent && idle_time >= policy_.non_idempotent_reuse_limit) return nullptr;
+        auto connection = std::move(host.idle.back());
+        host.idle.pop_back();
+        if (policy_.verify_before_reuse && !usable(*connection, host)) {
+            ++counts_.stale;
+            retire(std::move(connection));
+            continue;
+        }
+        ++counts_.reused;
+        host.in_use.push_back(std::move(connection));
+        return host.in_use.back().get();
+    }
+    return nullptr;
+}
+
+bool ConnectionPool::usable(const PooledConnection& connection, const HostConnections& host) const {
+    return loop_.now() - connection.unused_since() < policy_.idle_timeout &&
+           connection.opened_to(host.address) && !connection.stream().unread();
+}
+
+std::variant<PooledConnection*, AcquireError> ConnectionPool::open_connection(
+    HostConnections& host) {
+    if (open_ >= policy_.max_connections && !evict_unused()) {
+        ++counts_.full;
+        return AcquireError::pool_limit_reached;
+    }
+    int error = 0;
+    event::Fd fd = connect(*host.address, error);
+    if (!fd)
+        return event::local_shortage(error) ? AcquireError::local_shortage
+                                            : AcquireError::connect_refused;
+    ++counts_.opened;
+    ++open_;
+    host.in_use.push_back(factory_(host, std::move(fd)));
+    return host.in_use.back().get();
+}
+
+event::Fd ConnectionPool::connect(const config::Endpoint& address, int& error) {
+    event::Fd fd = event::connect_to(address.ip, address.port, address.v6, error);
+    const bool out_of_descriptors = !fd && (error == EMFILE || error == ENFILE);
+    if (out_of_descriptors && policy_.evict_on_descriptor_shortage && evict_unused())
+        fd = event::connect_to(address.ip, address.port, address.v6, error);
+    return fd;
+}
+
+void ConnectionPool::release(PooledConnection& connection, bool reusable) {
+    HostConnections& host = connection.host();
+    const auto at = find_in(host.in_use, connection);
+    if (at == host.in_use.end()) return;
+    auto owned = extract_unordered(host.in_use, at);
+    connection.set_unused_since(loop_.now());
+    if (reusable && host.listed && connection.opened_to(host.address)) {
+        if (connection.connected()) return host.idle.push_back(std::move(owned));
+        if (host.pending.size() < policy_.max_pending_per_host)
+            return host.pending.push_back(std::move(owned));
+    }
+    retire(std::move(owned));
+}
+
+// ---- unused connections ----
+
+void ConnectionPool::on_pending_connected(PooledConnection& connection) {
+    HostConnections& host = connection.host();
+    const auto at = find_in(host.pending, connection);
+    if (at == host.pending.end()) return;
+    host.idle.push_back(extract_ordered(host.pending, at));
+    connection.set_unused_since(loop_.now());
+}
+
+void ConnectionPool::drop_unused(PooledConnection& connection, DropReason reason) {
+    ++(reason == DropReason::unsolicited_bytes ? counts_.unsolicited : counts_.stale);
+    remove_unused(connection);
+}
+
+void ConnectionPool::remove_unused(PooledConnection& connection) {
+    for (auto* list : {&connection.host().idle, &connection.host().pending})
+        if (const auto at = find_in(*list, connection); at != list->end())
+            return retire(extract_ordered(*list, at));
+}
+
+bool ConnectionPool::evict_unused() {
+    HostConnections* longest_idle = nullptr;
+    for (const auto& [name, host] : hosts_) {
+        if (host->pending.empty()) continue;
+        remove_unused(*host->pending.front());
+        return true;
+    }
+    for (const auto& [name, host] : hosts_)
+        if (!host->idle.empty() &&
+            (!longest_idle ||
+             host->idle.front()->unused_since() < longest_idle->idle.front()->unused_since()))
+            longest_idle = host.get();
+    if (!longest_idle) return false;
+    remove_unused(*longest_idle->idle.front());
+    return true;
+}
+
+template <class Predicate>
+void ConnectionPool::close_unused(HostConnections& host, Predicate should_close) {
+    for (auto* list : {&host.idle, &host.pending}) {
+        for (auto& connection : *list)
+            if (should_close(*connection)) retire(std::move(connection));
+        std::erase(*list, nullptr);
+    }
+}
+
+// Retired connections may be in the middle of a callback, so they are destroyed a turn later.
+void ConnectionPool::retire(std::unique_ptr<PooledConnection> connection) {
+    connection->retire();
+    --open_;
+    retired_.bury(std::move(connection));
+}
+
+// Closes unused connections at their time-outs and removes hosts that are no longer listed.
+void ConnectionPool::sweep() {
+    for (auto& [name, host] : hosts_)
+        close_unused(*host, [&](const PooledConnection& connection) {
+            const Micros timeout =
+                connection.connected() ? policy_.idle_timeout : policy_.pending_timeout;
+            return loop_.now() - connection.unused_since() >= timeout;
+        });
+    std::erase_if(hosts_,
+                  [](const auto& entry) { return !entry.second->listed && entry.second->empty(); });
+    loop_.after(policy_.sweep_interval, [this, alive = std::weak_ptr<bool>(alive_)] {
+        if (!alive.expired()) sweep();
+    });
+}
+
+ConnectionPool::Stats ConnectionPool::stats() const {
+    Stats stats = counts_;
+    stats.open = open_;
+    stats.hosts = hosts_.size();
+    for (const auto& [name, host] : hosts_)
+        stats.idle += host->idle.size();
+    return stats;
+}
+
+}  // namespace silverreach::upstream
--- /dev/null
+++ b/src/upstream/common/pooled_connection.cpp
@@ -0,0 +1,65 @@
+#include "upstream/common/pooled_connection.h"
+
+#include "upstream/common/connection_pool.h"
+
+namespace silverreach::upstream {
+
+PooledConnection::PooledConnection(event::Loop& loop, ConnectionPool& pool, HostConnections& host,
+                                   event::Fd fd)
+    : loop_(loop),
+      pool_(pool),
+      host_(host),
+      address_(*host.address),
+      stream_(loop, std::move(fd), *this, true) {}
+
+bool PooledConnection::has_exchange() const {
+    return state_ == State::connecting || state_ == State::starting || request_written();
+}
+
+bool PooledConnection::connected() const {
+    return state_ == State::idle || state_ == State::starting || request_written();
+}
+
+void PooledConnection::begin_exchange(const core::AttemptKey& key) {
+    key_ = key;
+    exchange_started_ = loop_.now();
+    ++exchange_id_;
+    state_ = connected() ? State::starting : State::connecting;
+}
+
+void PooledConnection::end_exchange() {
+    ++exchange_id_;
+    state_ = connected() ? State::idle : State::pending;
+}
+
+void PooledConnection::retire() {
+    stream_.close();
+    state_ = State::closed;
+}
+
+void PooledConnection::on_connected() {
+    if (state_ == State::pending) {
+        state_ = State::idle;
+        return pool_.on_pending_connected(*this);
+    }
+    state_ = State::starting;
+    on_ready();
+}
+
+void PooledConnection::on_data(std::string_view bytes) {
+    if (has_exchange()) return on_response_bytes(bytes);
+    // No request is under way: the host's framing cannot be trusted any more.
+    pool_.drop_unused(*this, DropReason::unsolicited_bytes);
+}
+
+void PooledConnection::on_end() {
+    if (has_exchange()) return on_remote_close();
+    pool_.drop_unused(*this, DropReason::closed_by_host);
+}
+
+void PooledConnection::on_broken(int error) {
+    if (has_exchange()) return on_exchange_broken(error);
+    pool_.drop_unused(*this, DropReason::closed_by_host);
+}
+
+}  // namespace silverreach::upstream
--- /dev/null
+++ b/src/upstream/common/pooled_connection.h
@@ -0,0 +1,111 @@
+// One connection to a host. It carries one exchange (an attempt or a health check) at a time and
+// returns to its pool when that ends. The protocol is a derived class's.
+//
+//   pending ──connected──> idle ──begin──> starting ──sent──> awaiting_response ──> receiving_body
+//      │ ▲                   ▲                 │                     │                    │
+//    begin end               └─────────────────┴───────── end ───────┴────────────────────┘
+//      ▼ │
+//   connecting ──connected──> starting          any ──retire──> closed
+//
+// Runs on the loop's thread. The pool owns it; once retired it is destroyed at the loop's next
+// turn, so it may be retired from within its own callbacks.
+#pragma once
+
+#include <memory>
+#include <optional>
+#include <utility>
+
+#include "config/config.h"
+#include "event/stream.h"
+#include "upstream/common/attempt_table.h"
+
+namespace silverreach::upstream {
+
+struct HostConnections;
+class ConnectionPool;
+
+class PooledConnection : public event::StreamOwner {
+  public:
+    enum class State {
+        pending,            // handshake under way, no exchange
+        connecting,         // handshake under way, an exchange waits for its end
+        idle,               // connected, no exchange
+        starting,           // connected; the exchange's request has not been written
+        awaiting_response,  // the request is written; bytes of it may still be queued
+        receiving_body,     // the response's head is read
+        closed
+    };
+
+    // Takes over a connecting socket; `host` must know its address and outlives the connection.
+    PooledConnection(event::Loop& loop, ConnectionPool& pool, HostConnections& host, event::Fd fd);
+
+    State state() const { return state_; }
+    bool has_exchange() const;
+    bool connected() const;
+    bool is_health_check() const { return key_ == health_check_key; }
+    // All bytes of the request have been passed to the system. Before that it cannot have run.
+    bool request_sent() const { return request_written() && stream_.queued() == 0; }
+    bool opened_to(const std::optional<config::Endpoint>& address) const {
+        return address == address_;
+    }
+    const core::AttemptKey& key() const { return key_; }
+    HostConnections& host() { return host_; }
+    event::Stream& stream() { return stream_; }
+    const event::Stream& stream() const { return stream_; }
+
+    Micros unused_since() const { return unused_since_; }  // loop time
+    void set_unused_since(Micros now) { unused_since_ = now; }
+    void retire();  // closes the socket at once
+
+    void on_connected() final;
+    void on_data(std::string_view bytes) final;
+    void on_end() final;
+    void on_broken(int error) final;
+
+  protected:
+    // The connection has come up under an exchange: its request can be written.
+    virtual void on_ready() = 0;
+    virtual void on_response_bytes(std::string_view bytes) = 0;
+    virtual void on_remote_close() = 0;              // the host has ended its half
+    virtual void on_exchange_broken(int error) = 0;  // errno; the stream is closed
+
+    // State changes of the exchange.
+    void begin_exchange(const core::AttemptKey& key);
+    void mark_request_written() { state_ = State::awaiting_response; }
+    void mark_response_started() { state_ = State::receiving_body; }
+    void end_exchange();
+
+    bool request_written() const {
+        return state_ == State::awaiting_response || state_ == State::receiving_body;
+    }
+    Micros elapsed() const { return loop_.now() - exchange_started_; }  // since begin_exchange
+    // Changes with each begin and end: callbacks compare it to see whether theirs is still current.
+    std::uint64_t exchange_id() const { return exchange_id_; }
+    bool is_current(std::uint64_t exchange_id) const {
+        return exchange_id_ == exchange_id && has_exchange();
+    }
+    // Calls once `delay` from now, unless the exchange of now has ended by then.
+    template <class Callback>
+    void after_in_exchange(Micros delay, Callback callback) {
+        loop_.after(delay, [this, callback = std::move(callback), exchange_id = exchange_id_,
+                            alive = std::weak_ptr<bool>(alive_)] {
+            if (!alive.expired() && is_current(exchange_id)) callback();
+        });
+    }
+    Micros now() const { return loop_.now(); }
+
+  private:
+    event::Loop& loop_;
+    ConnectionPool& pool_;
+    HostConnections& host_;
+    const config::Endpoint address_;
+    event::Stream stream_;
+    State state_ = State::pending;
+    core::AttemptKey key_ = health_check_key;
+    std::uint64_t exchange_id_ = 0;
+    Micros exchange_started_{0};
+    Micros unused_since_{0};
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace silverreach::upstream
--- /dev/null
+++ b/src/upstream/http/health_check.cpp
@@ -0,0 +1,23 @@
+#include "upstream/http/health_check.h"
+
+#include "upstream/http/response_outcome.h"
+
+namespace silverreach::upstream_http {
+namespace {
+constexpr int first_error_status = 400;
+}  // namespace
+
+std::shared_ptr<const OutRequest> health_check_request(const std::string& path,
+                                                       const std::string& host) {
+    auto request = std::make_shared<OutRequest>();
+    request->head = "GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n";
+    return request;
+}
+
+Outcome health_check_outcome(const http::Head& head, const config::HostAnswers& rules) {
+    const bool healthy =
+        outcome_of(head, rules) == Outcome::success && head.status < first_error_status;
+    return healthy ? Outcome::success : Outcome::error;
+}
+
+}  // namespace silverreach::upstream_http
--- /dev/null
+++ b/src/upstream/http/upstream_connection.cpp
@@ -0,0 +1,164 @@
+#include "upstream/http/upstream_connection.h"
+
+#include <fmt/format.h>
+
+#include <chrono>
+#include <utility>
+
+#include "upstream/http/health_check.h"
+#include "upstream/http/load_report.h"
+#include "upstream/http/response_outcome.h"
+
+namespace silverreach::upstream_http {
+
+UpstreamConnection::UpstreamConnection(ConnectionContext& context, upstream::HostConnections& host,
+                                       event::Fd fd)
+    : PooledConnection(context.loop, context.pool, host, std::move(fd)),
+      context_(context),
+      parser_(http::Parser::Kind::response, *this) {}
+
+// ---- request ----
+
+void UpstreamConnection::begin(const core::AttemptKey& key,
+                               std::shared_ptr<const OutRequest> request) {
+    request_ = std::move(request);
+    deliver_body_ = false;
+    close_after_response_ = false;
+    begin_exchange(key);
+    parser_.next();
+    parser_.answer_to_head(request_->head_method);
+    if (state() == State::starting)
+        write_request();
+    else
+        limit_connect_time();
+    if (is_health_check()) limit_health_check_time();
+}
+
+void UpstreamConnection::limit_connect_time() {
+    const auto limit = std::chrono::milliseconds(context_.config.hosts().connect_ms());
+    after_in_exchange(limit, [this] {
+        if (!connected()) fail(Outcome::connect_failed);
+    });
+}
+
+void UpstreamConnection::limit_health_check_time() {
+    const auto limit = std::chrono::milliseconds(context_.config.hosts().probe_ms());
+    after_in_exchange(limit, [this] { fail(Outcome::timeout); });
+}
+
+void UpstreamConnection::write_request() {
+    const std::uint64_t exchange = exchange_id();
+    if (!is_health_check() && !context_.callbacks.begin_send(key())) {
+        if (is_current(exchange)) fail(Outcome::not_started);
+        return;
+    }
+    if (!is_current(exchange)) return;  // cancelled by the callback
+    mark_request_written();
+    const std::string head_end =
+        is_health_check() ? "\r\n" : fmt::format("Silverreach-Attempt: {}\r\n\r\n", key().attempt);
+    stream().write({request_->head, head_end, request_->body});
+}
+
+// ---- response ----
+
+void UpstreamConnection::on_response_bytes(std::string_view bytes) {
+    const std::uint64_t exchange = exchange_id();
+    const std::size_t consumed = parser_.feed(bytes);
+    if (is_current(exchange) && parser_.done()) complete_response(consumed < bytes.size());
+}
+
+void UpstreamConnection::on_remote_close() {
+    const std::uint64_t exchange = exchange_id();
+    close_after_response_ = true;
+    parser_.finish();
+    if (!is_current(exchange)) return;
+    if (parser_.done())
+        complete_response(true);
+    else
+        fail(Outcome::reset);
+}
+
+void UpstreamConnection::on_exchange_broken(int error) {
+    // Bytes of the request went out only after the connection was up.
+    if (connected()) return fail(Outcome::reset);
+    fail(event::local_shortage(error) ? Outcome::not_started : Outcome::connect_failed);
+}
+
+bool UpstreamConnection::on_head(http::Head& head) {
+    LoadReport report;
+    if (const std::string* field = http::find(head.fields, "endpoint-load-metrics"))
+        report = parse_load_report(*field);
+    if (!head.keep_alive) close_after_response_ = true;
+    const config::HostAnswers& rules = context_.config.host_answers();
+    mark_response_started();
+    if (!is_health_check()) return deliver_head(outcome_of(head, rules), report, head);
+    context_.callbacks.on_health_check_ended(
+        {host().host, health_check_outcome(head, rules), elapsed(), report});
+    return has_exchange();
+}
+
+bool UpstreamConnection::deliver_head(Outcome outcome, const LoadReport& report, http::Head& head) {
+    if (outcome != Outcome::success) {
+        context_.callbacks.on_attempt_ended(key(), host().host, outcome, elapsed(), report,
+                                            head.status);
+        return has_exchange();
+    }
+    const std::uint64_t exchange = exchange_id();
+    deliver_body_ =
+        context_.callbacks.on_response_started(key(), host().host, elapsed(), report, head);
+    return is_current(exchange);
+}
+
+void UpstreamConnection::on_body(std::string_view bytes) {
+    if (deliver_body_) context_.callbacks.on_response_body(key(), bytes);
+}
+
+void UpstreamConnection::on_message_end(http::Fields& trailers) {
+    trailers_ = std::move(trailers);
+}
+
+void UpstreamConnection::on_fault(const http::Fault&) {
+    fail(state() == State::receiving_body ? Outcome::reset : Outcome::error);
+}
+
+// ---- end of the exchange ----
+
+void UpstreamConnection::complete_response(bool more_bytes) {
+    const bool delivered = std::exchange(deliver_body_, false);
+    // After an early response the rest of the request would be read as the next one.
+    const bool reusable =
+        !close_after_response_ && !more_bytes && request_sent() && !stream().closed();
+    const core::AttemptKey ended = key();
+    const http::Fields trailers = std::exchange(trailers_, {});
+    stream().read(true);
+    release(reusable);
+    if (delivered) context_.callbacks.on_response_ended(ended, true, trailers);
+}
+
+void UpstreamConnection::fail(Outcome outcome) {
+    const core::AttemptKey ended = key();
+    const bool already_reported = state() == State::receiving_body;
+    const bool delivered = std::exchange(deliver_body_, false);
+    const Micros duration = elapsed();
+    const std::string host_name = host().host;
+    release(false);
+    if (delivered) return context_.callbacks.on_response_ended(ended, false, {});
+    if (already_reported) return;
+    if (ended == upstream::health_check_key)
+        return context_.callbacks.on_health_check_ended({host_name, outcome, duration, {}});
+    context_.callbacks.on_attempt_ended(ended, host_name, outcome, duration, {}, 0);
+}
+
+void UpstreamConnection::abandon() {
+    release(false);
+}
+
+void UpstreamConnection::release(bool reusable) {
+    end_exchange();
+    request_.reset();
+    if (!reusable) stream().close();
+    if (!is_health_check()) context_.attempts.erase(key());
+    context_.pool.release(*this, reusable);
+}
+
+}  // namespace silverreach::upstream_http
--- /dev/null
+++ b/src/upstream/http/upstream_connection.h
@@ -0,0 +1,64 @@
+// One HTTP/1.1 connection to a host: writes the request of an attempt or health check and reads its
+// response. States are those of upstream::PooledConnection; `receiving_body` begins with a
+// response's head, whether its body is delivered or discarded.
+#pragma once
+
+#include <memory>
+
+#include "http/parser.h"
+#include "upstream/common/connection_pool.h"
+#include "upstream/http/attempt_callbacks.h"
+#include "upstream/http/out_request.h"
+
+namespace silverreach::upstream_http {
+
+class UpstreamConnection;
+using AttemptTable = upstream::AttemptTable<UpstreamConnection>;
+
+// What all connections of an Upstream share; outlives them.
+struct ConnectionContext {
+    event::Loop& loop;
+    const config::Config& config;
+    AttemptCallbacks& callbacks;
+    upstream::ConnectionPool& pool;
+    AttemptTable& attempts;
+};
+
+class UpstreamConnection : public upstream::PooledConnection, private http::Parser::Events {
+  public:
+    UpstreamConnection(ConnectionContext& context, upstream::HostConnections& host, event::Fd fd);
+
+    // Sends the request now, or once the connection is up.
+    void begin(const core::AttemptKey& key, std::shared_ptr<const OutRequest> request);
+    // Ends the exchange and closes the connection without a callback.
+    void abandon();
+
+  private:
+    void on_ready() override { write_request(); }
+    void on_response_bytes(std::string_view bytes) override;
+    void on_remote_close() override;
+    void on_exchange_broken(int error) override;
+
+    bool on_head(http::Head& head) override;
+    void on_body(std::string_view bytes) override;
+    void on_message_end(http::Fields& trailers) override;
+    void on_fault(const http::Fault& fault) override;
+
+    void limit_connect_time();
+    void limit_health_check_time();
+    void write_request();
+    bool deliver_head(Outcome outcome, const LoadReport& report, http::Head& head);
+    // `more_bytes`: the host sent, or ended, beyond the response.
+    void complete_response(bool more_bytes);
+    void fail(Outcome outcome);
+    void release(bool reusable);
+
+    ConnectionContext& context_;
+    http::Parser parser_;
+    std::shared_ptr<const OutRequest> request_;
+    http::Fields trailers_;
+    bool deliver_body_ = false;
+    bool close_after_response_ = false;
+};
+
+}  // namespace silverreach::upstream_http
--- /dev/null
+++ b/src/upstream/resp/health_check.h
@@ -0,0 +1,17 @@
+// The health check of a RESP host: its command and how the reply counts.
+#pragma once
+
+#include <string>
+
+#include "resp/reply.h"
+#include "upstream/resp/host_response.h"
+
+namespace silverreach::upstream_resp {
+
+// INFO load, whose reply is the load report, or PING.
+std::string health_check_command(bool request_load_report);
+
+// `success` for a status line, a bulk string or a null; a bulk string is read as the load report.
+HostResponse parse_health_check(const resp::Reply& reply);
+
+}  // namespace silverreach::upstream_resp
--- /dev/null
+++ b/src/upstream/resp/upstream.cpp
@@ -0,0 +1,94 @@
+#include "upstream/resp/upstream.h"
+
+#include <chrono>
+#include <utility>
+#include <vector>
+
+#include "upstream/resp/health_check.h"
+
+namespace silverreach::upstream_resp {
+namespace {
+using namespace std::chrono_literals;
+// A handshake that outlasts its attempt goes on for the next one: without that, each slow handshake
+// would cost an attempt and another handshake.
+constexpr Micros pending_timeout = 2s;
+constexpr std::size_t max_pending_per_host = 2;
+constexpr Micros sweep_interval = 500ms;
+
+upstream::PoolPolicy pool_policy(const UpstreamLimits& limits) {
+    upstream::PoolPolicy policy;
+    policy.max_connections = limits.max_connections;
+    policy.evict_on_descriptor_shortage = true;
+    policy.verify_before_reuse = true;
+    policy.max_pending_per_host = max_pending_per_host;
+    policy.idle_timeout = limits.idle_timeout;
+    policy.pending_timeout = pending_timeout;
+    policy.non_idempotent_reuse_limit = limits.non_idempotent_reuse_limit;
+    policy.sweep_interval = sweep_interval;
+    return policy;
+}
+}  // namespace
+
+Upstream::Upstream(event::Loop& loop, UpstreamLimits limits, AttemptCallbacks& callbacks)
+    : limits_(limits),
+      callbacks_(callbacks),
+      pool_(loop, pool_policy(limits),
+            [this](upstream::HostConnections& host, event::Fd fd) {
+                return std::make_unique<UpstreamConnection>(context_, host, std::move(fd));
+            }),
+      context_{loop, limits_, callbacks, pool_, attempts_, counters_, buffered_bytes_} {}
+
+void Upstream::send(const core::AttemptKey& key, const std::string& host,
+                    std::shared_ptr<const platform::OutCommand> command) {
+    const auto acquired = pool_.acquire(host, {.idempotent = command->repeatable});
+    if (const auto* error = std::get_if<upstream::AcquireError>(&acquired)) {
+        HostResponse none;
+        none.outcome = upstream::outcome_of(*error);
+        return callbacks_.on_attempt_ended(key, host, 0us, std::move(none));
+    }
+    auto& connection =
+        static_cast<UpstreamConnection&>(*std::get<upstream::PooledConnection*>(acquired));
+    attempts_.insert(key, connection);
+    connection.begin_attempt(key, std::move(command));
+}
+
+void Upstream::cancel(const core::AttemptKey& key) {
+    if (UpstreamConnection* connection = attempts_.find(key)) connection->abandon();
+}
+
+bool Upstream::withdraw(const core::AttemptKey& key) {
+    UpstreamConnection* connection = attempts_.find(key);
+    if (!connection || connection->request_sent()) return false;
+    connection->abandon();
+    return true;
+}
+
+void Upstream::start_health_check(const std::string& host) {
+    const auto acquired = pool_.acquire(host, {.idempotent = true, .health_check = true});
+    if (const auto* error = std::get_if<upstream::AcquireError>(&acquired))
+        return callbacks_.on_health_check_ended({host, upstream::outcome_of(*error), 0us, {}});
+    auto& connection =
+        static_cast<UpstreamConnection&>(*std::get<upstream::PooledConnection*>(acquired));
+    connection.begin_health_check(health_check_command(limits_.request_load_report));
+}
+
+void Upstream::update_hosts(const platform::TargetList& list) {
+    std::vector<upstream::HostUpdate> updates;
+    for (const platform::Target& target : list.targets)
+        updates.push_back(
+            {target.entry.id, target.entry.status == EndpointStatus::available, target.endpoint});
+    pool_.update_hosts(list.whole, updates);
+}
+
+void Upstream::return_unsent_to_unlisted() {
+    // Ending an attempt may change the pool.
+    std::vector<core::AttemptKey> unsent;
+    pool_.for_each_in_use([&](upstream::PooledConnection& connection) {
+        if (connection.host().listed || connection.is_health_check()) return;
+        if (!connection.request_sent()) unsent.push_back(connection.key());
+    });
+    for (const core::AttemptKey& key : unsent)
+        if (UpstreamConnection* connection = attempts_.find(key)) connection->return_unsent();
+}
+
+}  // namespace silverreach::upstream_resp
--- /dev/null
+++ b/src/upstream/resp/upstream_connection.cpp
@@ -0,0 +1,177 @@
+#include "upstream/resp/upstream_connection.h"
+
+#include <chrono>
+#include <utility>
+
+#include "upstream/resp/health_check.h"
+
+namespace silverreach::upstream_resp {
+namespace {
+using namespace std::chrono_literals;
+// For the rest of an incomplete reply. A host writes a reply at once, and a lost packet costs some
+// 200 ms.
+constexpr Micros stall_timeout = 250ms;
+// For a command's bytes to leave this process; later the deadline in it would be wrong.
+constexpr Micros send_timeout = 100ms;
+// A reply up to this size is read whatever the other connections buffer.
+constexpr std::size_t always_buffered_bytes = std::size_t{64} * 1024;
+
+HostResponse response_of(Outcome outcome) {
+    HostResponse response;
+    response.outcome = outcome;
+    return response;
+}
+}  // namespace
+
+UpstreamConnection::UpstreamConnection(ConnectionContext& context, upstream::HostConnections& host,
+                                       event::Fd fd)
+    : PooledConnection(context.loop, context.pool, host, std::move(fd)),
+      context_(context),
+      reader_(context.buffered_bytes) {}
+
+// ---- request ----
+
+void UpstreamConnection::begin_attempt(const core::AttemptKey& key,
+                                       std::shared_ptr<const platform::OutCommand> command) {
+    command_ = std::move(command);
+    begin(key);
+}
+
+void UpstreamConnection::begin_health_check(std::string command) {
+    health_check_command_ = std::move(command);
+    begin(upstream::health_check_key);
+}
+
+void UpstreamConnection::begin(const core::AttemptKey& key) {
+    begin_exchange(key);
+    if (is_health_check()) limit_health_check_time();
+    if (state() == State::starting)
+        write_request();
+    else
+        limit_connect_time();
+}
+
+void UpstreamConnection::write_request() {
+    if (!is_health_check()) return write_attempt();
+    mark_request_written();
+    stream().write(std::exchange(health_check_command_, {}));
+}
+
+void UpstreamConnection::write_attempt() {
+    const std::uint64_t exchange = exchange_id();
+    const std::optional<Micros> time_left = context_.callbacks.begin_send(key());
+    if (!is_current(exchange)) return;  // withdrawn by the callback
+    if (!time_left) return return_unsent();
+    mark_request_written();
+    stream().write(command_->with(*time_left));
+    if (stream().queued() > 0) limit_send_time();
+}
+
+// ---- response ----
+
+void UpstreamConnection::on_response_bytes(std::string_view bytes) {
+    last_bytes_ = now();
+    switch (reader_.append(bytes)) {
+        case resp::Got::more:
+            return on_incomplete_reply(reader_.buffered() == bytes.size());
+        case resp::Got::broken:
+            return fail_malformed();
+        case resp::Got::whole:
+            return on_complete_reply();
+    }
+}
+
+void UpstreamConnection::on_incomplete_reply(bool first_bytes) {
+    if (context_.buffered_bytes > context_.limits.max_buffered_bytes &&
+        reader_.buffered() > always_buffered_bytes)
+        return fail_malformed();
+    if (first_bytes) watch_for_stall(stall_timeout);
+}
+
+void UpstreamConnection::on_complete_reply() {
+    const bool trailing = reader_.has_trailing_bytes();
+    if (trailing) ++context_.counters.trailing_bytes;
+    // After an early reply the rest of the command would be read as the next one.
+    const bool reusable = !trailing && request_sent();
+    const bool error_line = reader_.is_error_line();
+    if (is_health_check()) return finish(parse_health_check(reader_.take()), reusable);
+    HostResponse response = parse_response(reader_.take());
+    const bool malformed = response.outcome == Outcome::error && !error_line;
+    if (malformed) ++context_.counters.malformed;
+    finish(std::move(response), reusable && !malformed);
+}
+
+void UpstreamConnection::on_exchange_broken(int error) {
+    if (!connected() && event::local_shortage(error)) return return_unsent();
+    fail_lost();
+}
+
+// ---- time limits ----
+
+void UpstreamConnection::limit_connect_time() {
+    after_in_exchange(context_.limits.connect_timeout, [this] {
+        if (!connected()) finish(response_of(Outcome::connect_failed), true);
+    });
+}
+
+void UpstreamConnection::limit_health_check_time() {
+    after_in_exchange(context_.limits.health_check_timeout,
+                      [this] { finish(response_of(Outcome::timeout), !connected()); });
+}
+
+void UpstreamConnection::limit_send_time() {
+    after_in_exchange(send_timeout, [this] {
+        if (!request_sent()) fail_lost();
+    });
+}
+
+void UpstreamConnection::watch_for_stall(Micros wait) {
+    after_in_exchange(wait, [this] {
+        const Micros silence = now() - last_bytes_;
+        if (silence < stall_timeout) return watch_for_stall(stall_timeout - silence);
+        ++context_.counters.stalled;
+        finish(response_of(Outcome::error), false);
+    });
+}
+
+// ---- end of the exchange ----
+
+void UpstreamConnection::abandon() {
+    release(!connected());
+}
+
+void UpstreamConnection::return_unsent() {
+    finish(response_of(Outcome::not_started), !request_written());
+}
+
+// Before the last byte has been sent the command cannot have run.
+void UpstreamConnection::fail_lost() {
+    finish(response_of(request_sent() ? Outcome::reset : Outcome::connect_failed), false);
+}
+
+void UpstreamConnection::fail_malformed() {
+    ++context_.counters.malformed;
+    finish(response_of(Outcome::error), false);
+}
+
+void UpstreamConnection::finish(HostResponse response, bool reusable) {
+    const core::AttemptKey ended = key();
+    const Micros duration = elapsed();
+    const std::string host_name = host().host;
+    release(reusable);
+    if (ended == upstream::health_check_key)
+        return context_.callbacks.on_health_check_ended(
+            {host_name, response.outcome, duration, response.report});
+    context_.callbacks.on_attempt_ended(ended, host_name, duration, std::move(response));
+}
+
+void UpstreamConnection::release(bool reusable) {
+    end_exchange();
+    command_.reset();
+    health_check_command_.clear();
+    reader_.reset();
+    if (!is_health_check()) context_.attempts.erase(key());
+    context_.pool.release(*this, reusable);
+}
+
+}  // namespace silverreach::upstream_resp
--- /dev/null
+++ b/src/upstream/resp/upstream_connection.h
@@ -0,0 +1,83 @@
+// One RESP connection to a host: writes the command of an attempt or health check and reads its
+// reply. States are those of upstream::PooledConnection without `receiving_body`: a reply counts
+// only once it is complete and well-formed.
+//
+// An attempt that ends during the handshake leaves its connection to the pool, which keeps it
+// pending for the next one.
+#pragma once
+
+#include <memory>
+#include <string>
+
+#include "platform/request.h"
+#include "upstream/common/connection_pool.h"
+#include "upstream/resp/attempt_callbacks.h"
+#include "upstream/resp/response_reader.h"
+#include "upstream/resp/upstream_limits.h"
+
+namespace silverreach::upstream_resp {
+
+class UpstreamConnection;
+using AttemptTable = upstream::AttemptTable<UpstreamConnection>;
+
+// Replies that ended their connection.
+struct ResponseCounters {
+    std::uint64_t malformed = 0;       // not the protocol's form, or too large
+    std::uint64_t trailing_bytes = 0;  // complete, with bytes behind
+    std::uint64_t stalled = 0;         // begun and not continued
+};
+
+// What all connections of an Upstream share; outlives them.
+struct ConnectionContext {
+    event::Loop& loop;
+    const UpstreamLimits& limits;
+    AttemptCallbacks& callbacks;
+    upstream::ConnectionPool& pool;
+    AttemptTable& attempts;
+    ResponseCounters& counters;
+    std::size_t& buffered_bytes;  // of incomplete replies
+};
+
+class UpstreamConnection : public upstream::PooledConnection {
+  public:
+    UpstreamConnection(ConnectionContext& context, upstream::HostConnections& host, event::Fd fd);
+
+    // Both send now, or once the connection is up.
+    void begin_attempt(const core::AttemptKey& key,
+                       std::shared_ptr<const platform::OutCommand> command);
+    void begin_health_check(std::string command);
+    // Ends the exchange without a callback.
+    void abandon();
+    // Ends the attempt as `not_started`.
+    void return_unsent();
+
+  private:
+    void on_ready() override { write_request(); }
+    void on_response_bytes(std::string_view bytes) override;
+    void on_remote_close() override { fail_lost(); }
+    void on_exchange_broken(int error) override;
+
+    void begin(const core::AttemptKey& key);
+    void write_request();
+    void write_attempt();
+    void on_incomplete_reply(bool first_bytes);
+    void on_complete_reply();
+
+    void limit_connect_time();
+    void limit_health_check_time();
+    void limit_send_time();
+    void watch_for_stall(Micros wait);
+
+    void fail_lost();
+    void fail_malformed();
+    void finish(HostResponse response, bool reusable);
+    void release(bool reusable);
+
+    ConnectionContext& context_;
+    ResponseReader reader_;
+    std::shared_ptr<const platform::OutCommand> command_;
+    std::string health_check_command_;
+    Micros last_bytes_{0};  // loop time
+};
+
+}  // namespace silverreach::upstream_resp
--- /dev/null
+++ b/src/upstream/resp/upstream_limits.h
@@ -0,0 +1,22 @@
+// Limits of the RESP upstream.
+#pragma once
+
+#include <cstddef>
+
+#include "silverreach/interface.h"
+
+namespace silverreach::upstream_resp {
+
+struct UpstreamLimits {
+    std::size_t max_connections = 100;  // to all hosts
+    Micros connect_timeout{250'000};
+    Micros idle_timeout{12'000'000};
+    Micros health_check_timeout{250'000};
+    // Idle time after which a request that must not be repeated gets a new connection.
+    Micros non_idempotent_reuse_limit{1'000'000};
+    bool request_load_report = true;  // in health checks
+    // Bytes of incomplete responses over all connections; beyond it large ones are dropped.
+    std::size_t max_buffered_bytes = std::size_t{8} * 1024 * 1024;
+};
+
+}  // namespace silverreach::upstream_resp
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -3,7 +3,7 @@
 #include "discovery/endpoints.h"
 #include "http/parser.h"
 #include "peers/peers.h"
-#include "upstream/http/upstream.h"
+#include "upstream/http/load_report.h"
 
 using namespace silverreach;
 using namespace silverreach::http;
@@ -206,18 +206,18 @@
 }
 
 TEST(Report, OrcaTextAndJson) {
-    const auto text = upstream_http::read_report(
+    const auto text = upstream_http::parse_load_report(
         "TEXT cpu_utilization=0.5, named_metrics.queue=3,named_metrics.inflight=7,other=x");
     EXPECT_EQ(text.utilization, 0.5);
     EXPECT_EQ(text.queued_requests, 3);
     EXPECT_EQ(text.in_flight_requests, 7);
-    const auto json = upstream_http::read_report(
+    const auto json = upstream_http::parse_load_report(
         R"(JSON {"cpu_utilization": 0.25, "named_metrics": {"queue": 2}})");
     EXPECT_EQ(json.utilization, 0.25);
     EXPECT_EQ(json.queued_requests, 2);
     for (const char* bad : {"", "BIN abc", "TEXT queue", "TEXT named_metrics.queue=-4", "JSON [",
                             "TEXT named_metrics.queue=nan"})
-        EXPECT_LT(upstream_http::read_report(bad).queued_requests, 0) << bad;
+        EXPECT_LT(upstream_http::parse_load_report(bad).queued_requests, 0) << bad;
 }
 
 TEST(Endpoints, ListsAreReadWholeOrNotAtAll) {
--- a/tests/node/endings_test.cpp
+++ b/tests/node/endings_test.cpp
@@ -210,14 +210,14 @@
 
 namespace {
 // What a pool tells of its attempts.
-struct Ends : upstream_resp::Events {
+struct Ends : upstream_resp::AttemptCallbacks {
     std::vector<Outcome> outcomes;
-    std::optional<Micros> hand_over(const core::AttemptKey&) override { return 1s; }
-    void attempt_ended(const core::AttemptKey&, const std::string&, Micros,
-                       upstream_resp::Answer answer) override {
-        outcomes.push_back(answer.outcome);
+    std::optional<Micros> begin_send(const core::AttemptKey&) override { return 1s; }
+    void on_attempt_ended(const core::AttemptKey&, const std::string&, Micros,
+                          upstream_resp::HostResponse response) override {
+        outcomes.push_back(response.outcome);
     }
-    void probe_ended(HealthCheckEnded) override {}
+    void on_health_check_ended(HealthCheckEnded) override {}
 };
 }  // namespace
 
@@ -225,10 +225,10 @@
     test_support::OnLoop on;
     Host host(on.loop);
     Ends ends;
-    upstream_resp::PoolLimits limits;
-    limits.sure = 300ms;
+    upstream_resp::UpstreamLimits limits;
+    limits.non_idempotent_reuse_limit = 300ms;
     upstream_resp::Upstream up(on.loop, limits, ends);
-    up.hosts_changed(*platform::read_targets(Discovery::list(1, true, host.target("s-1"))));
+    up.update_hosts(*platform::read_targets(Discovery::list(1, true, host.target("s-1"))));
     const auto send = [&](RequestId id, bool repeatable) {
         auto command = std::make_shared<platform::OutCommand>();
         resp::append_array(command->head, 4);
@@ -253,10 +253,10 @@
     LateHost late;
     test_support::OnLoop on;
     Ends ends;
-    upstream_resp::PoolLimits limits;
-    limits.connect = 50ms;
+    upstream_resp::UpstreamLimits limits;
+    limits.connect_timeout = 50ms;
     upstream_resp::Upstream up(on.loop, limits, ends);
-    up.hosts_changed(*platform::read_targets(Discovery::list(1, true, target(late))));
+    up.update_hosts(*platform::read_targets(Discovery::list(1, true, target(late))));
     auto command = std::make_shared<platform::OutCommand>();
     command->head = "*1\r\n$4\r\nPING\r\n";
     up.send({1, 0}, "s-1", command);
@@ -268,17 +268,17 @@
     up.send({2, 0}, "s-1", command);
     EXPECT_TRUE(on.run([&] { return late.bytes() > 0; }, 1s))
         << "at once, on the one that was late";
-    EXPECT_EQ(up.stats().opened, 1u);
+    EXPECT_EQ(up.stats().connections.opened, 1u);
 }
 
 TEST(HostEnds, WithoutRoomHereNoHostIsToBlame) {
     LateHost late;
     test_support::OnLoop on;
     Ends ends;
-    upstream_resp::PoolLimits limits;
-    limits.connections = 1;
+    upstream_resp::UpstreamLimits limits;
+    limits.max_connections = 1;
     upstream_resp::Upstream up(on.loop, limits, ends);
-    up.hosts_changed(*platform::read_targets(Discovery::list(1, true, target(late))));
+    up.update_hosts(*platform::read_targets(Discovery::list(1, true, target(late))));
     auto command = std::make_shared<platform::OutCommand>();
     up.send({1, 0}, "s-1", command);
     up.send({2, 0}, "s-1", command);
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -264,8 +264,8 @@
         EXPECT_EQ(n.talk(query(1), 3), bulk("x")) << report;
     }
     EXPECT_EQ(n.hosts[0]->peers.size(), 1u);
-    EXPECT_EQ(upstream_resp::read_report("inflight=7,queue=2,util=0.61").queued_requests, 2);
-    EXPECT_EQ(upstream_resp::read_report("queue=1e400").queued_requests, -1);
+    EXPECT_EQ(upstream_resp::parse_load_report("inflight=7,queue=2,util=0.61").queued_requests, 2);
+    EXPECT_EQ(upstream_resp::parse_load_report("queue=1e400").queued_requests, -1);
 }
 
 TEST(Node, AConnectionBrokenAfterTheRequestMayHaveRunAndOneRefusedHasNot) {
