--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -19,6 +19,7 @@
 #include "cli/instance.h"
 #include "cli/node.h"
 #include "load.h"
+#include "resp/serializer.h"
 
 using namespace silverreach;
 using namespace std::chrono_literals;
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -4,7 +4,9 @@
 #include <deque>
 #include <functional>
 
-#include "resp/reply.h"
+#include "resp/command_parser.h"
+#include "resp/reply_parser.h"
+#include "resp/serializer.h"
 
 namespace silverreach::bench {
 
@@ -17,10 +19,11 @@
         pending.append(bytes);
         if (host.protocol_ == Protocol::resp) {
             std::size_t taken = 0;
-            for (resp::CommandReader reader;
-                 reader.look(std::string_view(pending).substr(taken)) == resp::Got::whole;
-                 reader.next()) {
-                taken += reader.size();
+            for (resp::CommandParser reader;
+                 reader.parse(std::string_view(pending).substr(taken)) ==
+                 resp::ParseStatus::complete;
+                 reader.reset()) {
+                taken += reader.consumed();
                 stream.write(host.answer_);
             }
             pending.erase(0, taken);
@@ -86,10 +89,11 @@
         void on_data(std::string_view bytes) override {
             pending.append(bytes);
             if (g.load.protocol == Protocol::resp) {
-                resp::ReplyReader reader;
-                if (reader.look(pending) != resp::Got::whole) return;
-                const resp::Kind kind = reader.take().kind;
-                return over(kind == resp::Kind::bulk || kind == resp::Kind::array, reader.size());
+                resp::ReplyParser reader;
+                if (reader.parse(pending) != resp::ParseStatus::complete) return;
+                const resp::ReplyType type = reader.take().type;
+                return over(type == resp::ReplyType::bulk_string || type == resp::ReplyType::array,
+                            reader.consumed());
             }
             const std::size_t head = pending.find("\r\n\r\n");
             if (head == std::string::npos) return;
--- a/src/frontend/resp/connection.cpp
+++ b/src/frontend/resp/connection.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "resp/serializer.h"
+
 namespace silverreach::frontend::resp {
 namespace {
 using namespace std::chrono_literals;
@@ -78,22 +80,22 @@
             more_later = true;
             break;
         }
-        const wire::Got got = reader_.look(rest);
-        if (got == wire::Got::more) break;
-        if (got == wire::Got::broken) {
+        const wire::ParseStatus got = reader_.parse(rest);
+        if (got == wire::ParseStatus::incomplete) break;
+        if (got == wire::ParseStatus::malformed) {
             ++front_.stats_.broken;
-            fault(reader_.why());
+            fault(wire::to_string(reader_.error()));
             break;
         }
         ++commands_;
         std::vector<std::string_view> words;
-        for (std::size_t i = 0; i < reader_.words(); ++i)
-            words.push_back(reader_.word(rest, i));
-        taken += reader_.size();
+        for (std::size_t i = 0; i < reader_.argument_count(); ++i)
+            words.push_back(reader_.argument(rest, i));
+        taken += reader_.consumed();
         const Micros now = front_.loop_.now();
         request(words, now - arrivals_.of(taken, now));
         rest = std::string_view(in_).substr(taken);
-        reader_.next();
+        reader_.reset();
     }
     working_ = false;
     if (gone_) return;
@@ -133,7 +135,9 @@
 void Front::Connection::hold() {
     const bool waits = waits_for_turn();
     const bool tight = front_.kept_bytes_ > front_.limits_.kept_bytes;
-    stream_.read(in_.size() <= (!waits ? wire::Limits{}.total : tight ? 0 : ahead_most));
+    stream_.read(in_.size() <= (!waits  ? wire::ParseLimits{}.max_message_bytes
+                                : tight ? 0
+                                        : ahead_most));
 }
 
 void Front::Connection::request(const std::vector<std::string_view>& words, Micros waited) {
--- a/src/frontend/resp/connection.h
+++ b/src/frontend/resp/connection.h
@@ -7,7 +7,7 @@
 
 #include "event/arrival_log.h"
 #include "frontend/resp/front.h"
-#include "resp/command.h"
+#include "resp/command_parser.h"
 
 namespace silverreach::frontend::resp {
 
@@ -62,7 +62,7 @@
 
     Front& front_;
     event::Stream stream_;
-    silverreach::resp::CommandReader reader_;
+    silverreach::resp::CommandParser reader_;
     std::string in_;              // what has not become a command yet
     event::ArrivalLog arrivals_;  // of what is in in_
     std::deque<Place> places_;
--- a/src/frontend/resp/front.cpp
+++ b/src/frontend/resp/front.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "frontend/resp/connection.h"
+#include "resp/serializer.h"
 
 namespace silverreach::frontend::resp {
 namespace {
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <optional>
 
-#include "resp/command.h"
+#include "resp/serializer.h"
 
 namespace silverreach::platform {
 namespace {
--- a/src/upstream/resp/health_check.cpp
+++ b/src/upstream/resp/health_check.cpp
@@ -1,6 +1,6 @@
 #include "upstream/resp/health_check.h"
 
-#include "resp/command.h"
+#include "resp/serializer.h"
 
 namespace silverreach::upstream_resp {
 
@@ -19,10 +19,11 @@
 
 HostResponse parse_health_check(const resp::Reply& reply) {
     HostResponse response;
-    const bool healthy = reply.kind == resp::Kind::status || reply.kind == resp::Kind::bulk ||
-                         reply.kind == resp::Kind::null;
+    const bool healthy = reply.type == resp::ReplyType::status ||
+                         reply.type == resp::ReplyType::bulk_string ||
+                         reply.type == resp::ReplyType::null;
     response.outcome = healthy ? Outcome::success : Outcome::error;
-    if (reply.kind == resp::Kind::bulk) response.report = parse_load_report(reply.text);
+    if (reply.type == resp::ReplyType::bulk_string) response.report = parse_load_report(reply.text);
     return response;
 }
 
--- a/src/upstream/resp/host_response.cpp
+++ b/src/upstream/resp/host_response.cpp
@@ -60,20 +60,21 @@
 }
 
 HostResponse parse_response(resp::Reply reply) {
-    if (reply.kind == resp::Kind::error) return parse_error(reply.text);
+    if (reply.type == resp::ReplyType::error) return parse_error(reply.text);
     HostResponse response;
-    const bool well_formed = reply.kind == resp::Kind::array &&
-                             reply.items.size() == element_count &&
-                             reply.items[value_element].kind == resp::Kind::bulk;
+    const bool well_formed = reply.type == resp::ReplyType::array &&
+                             reply.elements.size() == element_count &&
+                             reply.elements[value_element].type == resp::ReplyType::bulk_string;
     if (!well_formed) return response;
     response.outcome = Outcome::success;
-    response.value = std::move(reply.items[value_element].text);
-    if (const resp::Reply& properties = reply.items[properties_element];
-        properties.kind == resp::Kind::bulk)
+    response.value = std::move(reply.elements[value_element].text);
+    if (const resp::Reply& properties = reply.elements[properties_element];
+        properties.type == resp::ReplyType::bulk_string)
         for_each_figure(properties.text, [&](std::string_view name, double value) {
             if (name == "cost" && value > 0) response.actual_units = value;
         });
-    if (const resp::Reply& report = reply.items[report_element]; report.kind == resp::Kind::bulk)
+    if (const resp::Reply& report = reply.elements[report_element];
+        report.type == resp::ReplyType::bulk_string)
         response.report = parse_load_report(report.text);
     return response;
 }
--- a/src/upstream/resp/response_reader.h
+++ b/src/upstream/resp/response_reader.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "resp/reply.h"
+#include "resp/reply_parser.h"
 
 namespace silverreach::upstream_resp {
 
@@ -14,17 +14,17 @@
     // `total_buffered`: bytes that all readers of an Upstream keep; outlives the reader.
     explicit ResponseReader(std::size_t& total_buffered);
 
-    resp::Got append(std::string_view bytes);
+    resp::ParseStatus append(std::string_view bytes);
     std::size_t buffered() const { return buffer_.size(); }
     // Of a complete reply:
-    bool has_trailing_bytes() const { return parser_.size() < buffer_.size(); }
+    bool has_trailing_bytes() const { return parser_.consumed() < buffer_.size(); }
     bool is_error_line() const { return buffer_.front() == '-'; }
     resp::Reply take() { return parser_.take(); }
     // Ready for the next reply, whatever came of this one.
     void reset();
 
   private:
-    resp::ReplyReader parser_;
+    resp::ReplyParser parser_;
     std::string buffer_;
     std::size_t& total_buffered_;
 };
--- a/src/upstream/resp/upstream_connection.cpp
+++ b/src/upstream/resp/upstream_connection.cpp
@@ -72,11 +72,11 @@
 void UpstreamConnection::on_response_bytes(std::string_view bytes) {
     last_bytes_ = now();
     switch (reader_.append(bytes)) {
-        case resp::Got::more:
+        case resp::ParseStatus::incomplete:
             return on_incomplete_reply(reader_.buffered() == bytes.size());
-        case resp::Got::broken:
+        case resp::ParseStatus::malformed:
             return fail_malformed();
-        case resp::Got::whole:
+        case resp::ParseStatus::complete:
             return on_complete_reply();
     }
 }
--- a/tests/faults/deadline_test.cpp
+++ b/tests/faults/deadline_test.cpp
@@ -62,9 +62,9 @@
     ASSERT_TRUE(n.run([&] { return late.bytes() > 0; }, 2500ms));
     const Micros after = event::Loop::clock() - written;
     EXPECT_GT(after.count(), Micros(500ms).count()) << "it was not late";
-    resp::CommandReader reader;
-    ASSERT_EQ(reader.look(late.text()), resp::Got::whole);
-    const Words words = {"", "", "", std::string(reader.word(late.text(), 3))};
+    resp::CommandParser reader;
+    ASSERT_EQ(reader.parse(late.text()), resp::ParseStatus::complete);
+    const Words words = {"", "", "", std::string(reader.argument(late.text(), 3))};
     EXPECT_LE(figure(words, "d"), 1900 - after.count() / 1000 + 150);
     EXPECT_GT(figure(words, "d"), 0);
 }
--- a/tests/faults/rig.h
+++ b/tests/faults/rig.h
@@ -4,7 +4,7 @@
 
 #include <sys/resource.h>
 
-#include "resp/reply.h"
+#include "resp/reply_parser.h"
 #include "tests/node/rig.h"
 #include "tests/support/node_process.h"
 
@@ -17,12 +17,12 @@
 inline std::vector<resp::Reply> replies(const std::string& got) {
     std::vector<resp::Reply> out;
     std::string rest = got;
-    resp::ReplyReader reader;
-    while (!rest.empty() && reader.look(rest) == resp::Got::whole) {
-        const std::size_t size = reader.size();
+    resp::ReplyParser reader;
+    while (!rest.empty() && reader.parse(rest) == resp::ParseStatus::complete) {
+        const std::size_t size = reader.consumed();
         out.push_back(reader.take());
         rest.erase(0, size);
-        reader.next();
+        reader.reset();
     }
     return out;
 }
--- a/tests/node/rig.h
+++ b/tests/node/rig.h
@@ -11,6 +11,8 @@
 #include <vector>
 
 #include "cli/node.h"
+#include "resp/command_parser.h"
+#include "resp/serializer.h"
 #include "tests/node/settings.h"
 #include "tests/support/late_host.h"
 #include "tests/support/loop.h"
@@ -70,13 +72,13 @@
     };
     explicit Host(event::Loop& l) : Accepting(l, [this](Peer& p) { take(p); }) {}
     void take(Peer& p) {
-        resp::CommandReader reader;
-        while (reader.look(p.got) == resp::Got::whole) {
+        resp::CommandParser reader;
+        while (reader.parse(p.got) == resp::ParseStatus::complete) {
             Words words;
-            for (std::size_t i = 0; i < reader.words(); ++i)
-                words.emplace_back(reader.word(p.got, i));
-            p.got.erase(0, reader.size());
-            reader.next();
+            for (std::size_t i = 0; i < reader.argument_count(); ++i)
+                words.emplace_back(reader.argument(p.got, i));
+            p.got.erase(0, reader.consumed());
+            reader.reset();
             commands.push_back(words);
             respond(p, words);
         }
--- a/tests/soak/world.cpp
+++ b/tests/soak/world.cpp
@@ -51,13 +51,13 @@
         : host(h), gateway(g), stream(h.world_.loop, std::move(fd), *this) {}
     void on_data(std::string_view bytes) override {
         got.append(bytes);
-        resp::CommandReader reader;
-        while (!over && reader.look(got) == resp::Got::whole) {
+        resp::CommandParser reader;
+        while (!over && reader.parse(got) == resp::ParseStatus::complete) {
             std::vector<std::string> words;
-            for (std::size_t i = 0; i < reader.words(); ++i)
-                words.emplace_back(reader.word(got, i));
-            got.erase(0, reader.size());
-            reader.next();
+            for (std::size_t i = 0; i < reader.argument_count(); ++i)
+                words.emplace_back(reader.argument(got, i));
+            got.erase(0, reader.consumed());
+            reader.reset();
             host.command(*this, words);
         }
     }
@@ -262,18 +262,18 @@
 
     void on_data(std::string_view bytes) override {
         got_.append(bytes);
-        while (!got_.empty() && reader_.look(got_) == resp::Got::whole) {
-            const std::size_t size = reader_.size();
+        while (!got_.empty() && reader_.parse(got_) == resp::ParseStatus::complete) {
+            const std::size_t size = reader_.consumed();
             const resp::Reply reply = reader_.take();
             got_.erase(0, size);
-            reader_.next();
+            reader_.reset();
             if (open_.empty()) {
                 world_.ledger.violation(world_.now(), Breach::second_word,
                                         "an answer that nobody asked for");
                 continue;
             }
-            world_.ledger.answered(world_.now(), open_.front().id, reply.kind == resp::Kind::bulk,
-                                   reply.text, turn_);
+            world_.ledger.answered(world_.now(), open_.front().id,
+                                   reply.type == resp::ReplyType::bulk_string, reply.text, turn_);
             turn_ = world_.now();
             open_.pop_front();
         }
@@ -315,7 +315,7 @@
                                          world_.gateways[index()].process->port(), false, error);
         if (!fd) return;
         got_.clear();
-        reader_ = resp::ReplyReader();
+        reader_ = resp::ReplyParser();
         stream_ = std::make_unique<event::Stream>(world_.loop, std::move(fd), *this, true);
         starts_ = world_.gateways[index()].starts;
         for (Open& open : open_) {  // once more, as the close crossed them
@@ -391,7 +391,7 @@
     std::unique_ptr<event::Stream> stream_;
     std::deque<Open> open_;
     std::string got_;
-    resp::ReplyReader reader_;
+    resp::ReplyParser reader_;
     Micros turn_{0};  // when the latest answer came
 };
 
--- a/tests/soak/world.h
+++ b/tests/soak/world.h
@@ -13,8 +13,9 @@
 
 #include "event/listener.h"
 #include "event/stream.h"
-#include "resp/command.h"
-#include "resp/reply.h"
+#include "resp/command_parser.h"
+#include "resp/reply_parser.h"
+#include "resp/serializer.h"
 #include "tests/soak/ledger.h"
 #include "tests/support/node_process.h"
 
