--- a/fakes/client.cpp
+++ b/fakes/client.cpp
@@ -104,7 +104,7 @@
       records_(records),
       gateways_(std::move(gateways)),
       begin_(loop.now()),
-      gone_(loop) {}
+      deferred_deletion_(loop) {}
 Clients::~Clients() {
     alive_.reset();
 }
@@ -220,7 +220,7 @@
         auto owned = std::move(*it);
         list->erase(it);
         if (reuse) return idle_[c.port].push_back(std::move(owned));
-        gone_.bury(std::move(owned));
+        deferred_deletion_.schedule(std::move(owned));
         return;
     }
 }
--- a/fakes/client.h
+++ b/fakes/client.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "event/graveyard.h"
+#include "event/deferred_deletion.h"
 #include "event/stream.h"
 #include "fakes/record.h"
 #include "http/parser.h"
@@ -62,7 +62,7 @@
     std::vector<std::pair<Flow, Micros>> flows_;
     std::map<int, std::vector<std::unique_ptr<Connection>>> idle_;  // by port
     std::vector<std::unique_ptr<Connection>> in_use_;
-    event::Graveyard<Connection> gone_;
+    event::DeferredDeletion<Connection> deferred_deletion_;
     std::size_t waiting_ = 0;
     std::uint64_t next_ = 1;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/fakes/server.cpp
+++ b/fakes/server.cpp
@@ -31,7 +31,7 @@
     void on_fault(const http::Fault&) override { over(); }
     void over() {
         stream.close();
-        server.bury(token);
+        server.delete_later(token);
     }
 
     Server& server;
@@ -44,7 +44,7 @@
 };
 
 Server::Server(event::Loop& loop, const std::string& ip, int port, Handler handler)
-    : loop_(loop), handler_(std::move(handler)), gone_(loop) {
+    : loop_(loop), handler_(std::move(handler)), deferred_deletion_(loop) {
     listener_ = std::make_unique<event::Listener>(
         loop, ip, port, ip.find(':') != std::string::npos, [] { return true; },
         [this](event::Fd fd, std::string) {
@@ -78,12 +78,12 @@
     for (auto& [token, c] : connections_)
         c->stream.reset();
     while (!connections_.empty())
-        bury(connections_.begin()->first);
+        delete_later(connections_.begin()->first);
 }
-void Server::bury(Token token) {
+void Server::delete_later(Token token) {
     const auto it = connections_.find(token);
     if (it == connections_.end()) return;
-    gone_.bury(std::move(it->second));
+    deferred_deletion_.schedule(std::move(it->second));
     connections_.erase(it);
 }
 
--- a/fakes/server.h
+++ b/fakes/server.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "event/graveyard.h"
+#include "event/deferred_deletion.h"
 #include "event/listener.h"
 #include "event/stream.h"
 #include "http/parser.h"
@@ -29,11 +29,11 @@
 
   private:
     struct Connection;
-    void bury(Token token);
+    void delete_later(Token token);
     event::Loop& loop_;
     Handler handler_;
     std::unordered_map<Token, std::unique_ptr<Connection>> connections_;
-    event::Graveyard<Connection> gone_;
+    event::DeferredDeletion<Connection> deferred_deletion_;
     Token next_ = 1;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     std::unique_ptr<event::Listener> listener_;
--- a/src/frontend/http/connection.cpp
+++ b/src/frontend/http/connection.cpp
@@ -301,7 +301,7 @@
     if (state_ == State::gone) return;
     state_ = State::gone;
     stream_.close();
-    front_.bury(*this);
+    front_.delete_later(*this);
 }
 
 bool Front::Connection::last_before_the_end() const {
--- a/src/frontend/http/front.cpp
+++ b/src/frontend/http/front.cpp
@@ -19,7 +19,7 @@
       hooks_(std::move(hooks)),
       resolver_(config, accounts),
       via_(fmt::format("silverreach-{}", config.peers().rank())),
-      gone_(loop) {
+      deferred_deletion_(loop) {
     const auto at = config::parse_endpoint(config.listen().address());
     listener_ = std::make_unique<event::Listener>(
         loop, at->ip, at->port, at->v6,
@@ -56,10 +56,10 @@
 }
 
 // A connection may be in the middle of a call of its own; it goes at the next turn.
-void Front::bury(Connection& connection) {
+void Front::delete_later(Connection& connection) {
     const auto it = connections_.find(&connection);
     if (it == connections_.end()) return;
-    gone_.bury(std::move(it->second));
+    deferred_deletion_.schedule(std::move(it->second));
     connections_.erase(it);
 }
 
--- a/src/frontend/http/front.h
+++ b/src/frontend/http/front.h
@@ -9,7 +9,7 @@
 
 #include "config/config.h"
 #include "core/core.h"
-#include "event/graveyard.h"
+#include "event/deferred_deletion.h"
 #include "event/listener.h"
 #include "event/stream.h"
 #include "frontend/http/resolve.h"
@@ -65,7 +65,7 @@
     Connection* find(RequestId id) const;
     const std::string& date();
     void accept(event::Fd fd, std::string client);
-    void bury(Connection& connection);
+    void delete_later(Connection& connection);
 
     event::Loop& loop_;
     const config::Config& config_;
@@ -76,7 +76,7 @@
     std::string via_;
     event::SystemRandom random_;  // of request and trace ids
     std::unordered_map<Connection*, std::unique_ptr<Connection>> connections_;
-    event::Graveyard<Connection> gone_;
+    event::DeferredDeletion<Connection> deferred_deletion_;
     std::unordered_map<RequestId, Connection*> by_id_;
     std::string date_;
     std::time_t date_of_ = 0;
--- a/src/frontend/resp/connection.cpp
+++ b/src/frontend/resp/connection.cpp
@@ -300,7 +300,7 @@
             front_.requests_.erase(it);
         }
     Front& front = front_;
-    front.bury(*this);
+    front.delete_later(*this);
     for (const RequestId id : left)
         front.core_.on_client_disconnected(front.clock_(), id);
 }
--- a/src/frontend/resp/front.cpp
+++ b/src/frontend/resp/front.cpp
@@ -24,7 +24,7 @@
       limits_(limits),
       core_(core),
       clock_(std::move(clock)),
-      gone_(loop) {
+      deferred_deletion_(loop) {
     listener_ = std::make_unique<event::Listener>(
         loop, listen.ip, listen.port, listen.v6, [this] { return room(); },
         [this](event::Fd fd, std::string) { accepted(std::move(fd)); });
@@ -79,10 +79,10 @@
 }
 
 // It may be in the middle of a call of its own; it goes at the next turn.
-void Front::bury(Connection& connection) {
+void Front::delete_later(Connection& connection) {
     const std::size_t at = connection.slot;
     lingering_ -= connection.lingering();
-    gone_.bury(std::move(connections_[at]));
+    deferred_deletion_.schedule(std::move(connections_[at]));
     if (at + 1 != connections_.size()) {
         connections_[at] = std::move(connections_.back());
         connections_[at]->slot = at;
--- a/src/frontend/resp/front.h
+++ b/src/frontend/resp/front.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "core/core.h"
-#include "event/graveyard.h"
+#include "event/deferred_deletion.h"
 #include "event/listener.h"
 #include "event/stream.h"
 #include "platform/request.h"
@@ -109,7 +109,7 @@
     Connection* longest_at_rest();
     void accepted(event::Fd fd);
     void over(RequestId id, std::string bytes);  // its answer, as it goes out
-    void bury(Connection& connection);
+    void delete_later(Connection& connection);
     void closing(const ClientClose& close);
     void lingers(Connection& connection);
     Micros time_to_end() const { return closing_ ? end_ - loop_.now() : Micros::max(); }
@@ -124,7 +124,7 @@
     std::unordered_map<RequestId, Open> requests_;
     std::unordered_map<std::uint64_t, RequestId> by_client_id_;
     std::vector<std::unique_ptr<Connection>> connections_;
-    event::Graveyard<Connection> gone_;
+    event::DeferredDeletion<Connection> deferred_deletion_;
     std::size_t kept_bytes_ = 0;
     bool closing_ = false;
     Micros end_{0};
--- a/src/upstream/http/upstream.cpp
+++ b/src/upstream/http/upstream.cpp
@@ -180,7 +180,7 @@
         if (it == idle.end()) return;
         auto owned = std::move(*it);
         idle.erase(it);
-        up_.bury(std::move(owned));
+        up_.delete_later(std::move(owned));
     }
 
     Pool& pool_;
@@ -198,7 +198,7 @@
 };
 
 Upstream::Upstream(event::Loop& loop, const config::Config& config, Events& events)
-    : loop_(loop), config_(config), events_(events), gone_(loop) {
+    : loop_(loop), config_(config), events_(events), deferred_deletion_(loop) {
     sweep();
 }
 Upstream::~Upstream() = default;
@@ -290,12 +290,12 @@
         return;
     }
     connection.stream().close();
-    bury(std::move(owned));
+    delete_later(std::move(owned));
 }
 
 // A connection may be in the middle of a call of its own; it goes at the next turn.
-void Upstream::bury(std::unique_ptr<Connection> connection) {
-    gone_.bury(std::move(connection));
+void Upstream::delete_later(std::unique_ptr<Connection> connection) {
+    deferred_deletion_.schedule(std::move(connection));
 }
 
 void Upstream::keep_only(const std::vector<EndpointEntry>& hosts) {
--- a/src/upstream/http/upstream.h
+++ b/src/upstream/http/upstream.h
@@ -10,7 +10,7 @@
 
 #include "config/config.h"
 #include "core/core.h"
-#include "event/graveyard.h"
+#include "event/deferred_deletion.h"
 #include "event/stream.h"
 #include "http/parser.h"
 
@@ -81,7 +81,7 @@
     // Nothing where none is to be had; `failed` then says how an attempt ends by it.
     Connection* open(Pool& pool, bool probe, Outcome& failed);
     void release(Connection& connection, bool reusable);
-    void bury(std::unique_ptr<Connection> connection);
+    void delete_later(std::unique_ptr<Connection> connection);
     void sweep();
 
     event::Loop& loop_;
@@ -89,7 +89,7 @@
     Events& events_;
     std::map<std::string, std::unique_ptr<Pool>> pools_;
     std::unordered_map<core::AttemptKey, Connection*, core::AttemptKeyHash> by_key_;
-    event::Graveyard<Connection> gone_;
+    event::DeferredDeletion<Connection> deferred_deletion_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     std::uint64_t opened_ = 0, reused_ = 0;
 };
--- a/src/upstream/resp/pool.cpp
+++ b/src/upstream/resp/pool.cpp
@@ -224,7 +224,7 @@
 }
 
 Upstream::Upstream(event::Loop& loop, PoolLimits limits, Events& events)
-    : loop_(loop), limits_(limits), events_(events), gone_(loop) {
+    : loop_(loop), limits_(limits), events_(events), deferred_deletion_(loop) {
     sweep();
 }
 Upstream::~Upstream() = default;
@@ -245,7 +245,7 @@
         const bool old = loop_.now() - connection->idle_since >= limits_.idle;
         if (old || !connection->at(pool.endpoint) || connection->stream().unread()) {
             ++stats_.stale;
-            bury(std::move(connection));
+            delete_later(std::move(connection));
             continue;
         }
         ++stats_.reused;
@@ -343,7 +343,7 @@
         if (connection.connected()) return pool.idle.push_back(std::move(owned));
         if (pool.coming.size() < coming_to_one) return pool.coming.push_back(std::move(owned));
     }
-    bury(std::move(owned));
+    delete_later(std::move(owned));
 }
 
 // Late, with nobody waiting for it any more: it is there for the next attempt.
@@ -361,15 +361,15 @@
         if (const auto it = find(*list, connection); it != list->end()) {
             auto owned = std::move(*it);
             list->erase(it);
-            return bury(std::move(owned));
+            return delete_later(std::move(owned));
         }
 }
 
 // Closed at once; the object may be in the middle of a call of its own and goes at the next turn.
-void Upstream::bury(std::unique_ptr<Connection> connection) {
+void Upstream::delete_later(std::unique_ptr<Connection> connection) {
     connection->stream().close();
     --open_;
-    gone_.bury(std::move(connection));
+    deferred_deletion_.schedule(std::move(connection));
 }
 
 void Upstream::hosts_changed(const platform::TargetList& list) {
@@ -406,7 +406,7 @@
 void Upstream::close_unused(Pool& pool, Goes goes) {
     for (auto* list : {&pool.idle, &pool.coming}) {
         for (auto& c : *list)
-            if (goes(*c)) bury(std::move(c));
+            if (goes(*c)) delete_later(std::move(c));
         std::erase(*list, nullptr);
     }
 }
--- a/src/upstream/resp/pool.h
+++ b/src/upstream/resp/pool.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "core/core.h"
-#include "event/graveyard.h"
+#include "event/deferred_deletion.h"
 #include "event/stream.h"
 #include "platform/request.h"
 #include "platform/targets.h"
@@ -95,7 +95,7 @@
     template <typename Goes>
     void close_unused(Pool& pool, Goes goes);
     void drop_idle(Connection& connection);
-    void bury(std::unique_ptr<Connection> connection);
+    void delete_later(std::unique_ptr<Connection> connection);
     void sweep();
 
     event::Loop& loop_;
@@ -103,7 +103,7 @@
     Events& events_;
     std::unordered_map<std::string, std::unique_ptr<Pool>> pools_;
     std::unordered_map<core::AttemptKey, Connection*, core::AttemptKeyHash> by_key_;
-    event::Graveyard<Connection> gone_;
+    event::DeferredDeletion<Connection> deferred_deletion_;
     std::size_t open_ = 0, kept_bytes_ = 0;
     Stats stats_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
