--- a/fakes/relay.cpp
+++ b/fakes/relay.cpp
@@ -19,7 +19,7 @@
 struct Relay::Leg {
     event::Fd fd;
     int port = 0;
-    std::unique_ptr<event::Io> io;
+    std::unique_ptr<event::IoWatcher> io;
 };
 
 Relay::Relay(event::Loop& loop, std::vector<std::pair<std::string, int>> own, std::uint64_t seed)
@@ -36,8 +36,8 @@
                 throw std::runtime_error("relay: no socket");
             getsockname(leg->fd.get(), reinterpret_cast<sockaddr*>(&at), &size);
             leg->port = ntohs(at.sin_port);
-            leg->io = std::make_unique<event::Io>(loop, leg->fd.get(),
-                                                  [this, from, to](int) { receive(from, to); });
+            leg->io = std::make_unique<event::IoWatcher>(
+                loop, leg->fd.get(), [this, from, to](int) { receive(from, to); });
             leg->io->want(event::readable);
             legs_[static_cast<std::size_t>(from)].push_back(std::move(leg));
         }
--- a/fakes/relay.h
+++ b/fakes/relay.h
@@ -8,6 +8,8 @@
 #include <string>
 #include <vector>
 
+#include "event/fd.h"
+#include "event/io_watcher.h"
 #include "event/loop.h"
 
 namespace silverreach::fakes {
--- a/scenario_runner/gateway_process.h
+++ b/scenario_runner/gateway_process.h
@@ -7,6 +7,7 @@
 #include <utility>
 #include <vector>
 
+#include "event/fd.h"
 #include "event/loop.h"
 
 namespace silverreach::scenario {
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -15,6 +15,7 @@
 #include "cli/keys.h"
 #include "cli/node_program.h"
 #include "event/signal.h"
+#include "event/system_error.h"
 #include "scenario_runner/drill.h"
 
 namespace silverreach::cli {
@@ -65,7 +66,7 @@
     while (true) {
         try {
             return std::make_unique<Instance>(loop, config, folder, log);
-        } catch (const event::SystemRefused& error) {
+        } catch (const event::SystemError& error) {
             if (event::Loop::clock() >= until) throw;
             if (!std::exchange(told, true))
                 log.write(log::Level::warning, "start_delayed",
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -9,9 +9,9 @@
 #include "config/config.h"
 #include "core/core.h"
 #include "discovery/roster.h"
-#include "event/background.h"
+#include "event/background_task.h"
 #include "event/loop.h"
-#include "event/token_timers.h"
+#include "event/timer_wheel.h"
 #include "frontend/http/front.h"
 #include "log/log.h"
 #include "peers/peers.h"
@@ -72,8 +72,8 @@
     std::unique_ptr<config::AccountBook> accounts_;
     std::shared_ptr<const openapi::Description> description_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    event::TokenTimers timers_;
-    event::Background background_;
+    event::TimerWheel timers_;
+    event::BackgroundTask background_;
     bool reload_again_ = false;
     std::unique_ptr<core::Core> core_;
     std::unique_ptr<upstream_http::Upstream> upstream_;
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -10,7 +10,7 @@
 #include "core/core.h"
 #include "discovery/watch.h"
 #include "event/loop.h"
-#include "event/token_timers.h"
+#include "event/timer_wheel.h"
 #include "frontend/resp/front.h"
 #include "log/log.h"
 #include "peers/plain.h"
@@ -70,7 +70,7 @@
     const Micros offset_;
     platform::Judge judge_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    event::TokenTimers timers_;
+    event::TimerWheel timers_;
     std::unique_ptr<core::Core> core_;
     std::unique_ptr<upstream_resp::Upstream> upstream_;
     std::unique_ptr<peers::PlainPeers> peers_;
--- a/src/cli/node_program.cpp
+++ b/src/cli/node_program.cpp
@@ -13,6 +13,7 @@
 #include "cli/files.h"
 #include "cli/node.h"
 #include "event/signal.h"
+#include "event/system_error.h"
 
 namespace silverreach::cli {
 namespace {
@@ -81,7 +82,7 @@
             return start_later(error.what(), start_config_most, error.exit_code);
         } catch (const std::invalid_argument& error) {
             return give_up(error.what(), Exit::bad_answer);
-        } catch (const event::SystemRefused& error) {
+        } catch (const event::SystemError& error) {
             return start_later(error.what(), start_most, Exit::system_refused);
         } catch (const std::exception& error) {
             return give_up(error.what(), Exit::system_refused);
--- a/src/discovery/roster.h
+++ b/src/discovery/roster.h
@@ -8,6 +8,7 @@
 
 #include "config/config.h"
 #include "discovery/endpoints.h"
+#include "event/file_watch.h"
 #include "event/stream.h"
 #include "http/parser.h"
 
--- /dev/null
+++ b/src/event/file_watch.cpp
@@ -0,0 +1,38 @@
+#include "event/file_watch.h"
+
+#include <sys/stat.h>
+
+#include <utility>
+
+namespace silverreach::event {
+namespace {
+constexpr std::int64_t ns_per_second = 1'000'000'000;
+}
+
+FileWatch::FileWatch(Loop& loop, std::string path, Micros period, std::function<void()> on_change)
+    : loop_(loop),
+      path_(std::move(path)),
+      period_(period),
+      on_change_(std::move(on_change)),
+      last_(read_stamp()) {
+    schedule_check();
+}
+
+FileWatch::FileStamp FileWatch::read_stamp() const {
+    struct stat status {};
+    if (::stat(path_.c_str(), &status) != 0) return {};
+    return {static_cast<std::int64_t>(status.st_ino), status.st_size,
+            status.st_mtim.tv_sec * ns_per_second + status.st_mtim.tv_nsec};
+}
+
+void FileWatch::schedule_check() {
+    loop_.after(period_, [this, alive = std::weak_ptr<bool>(alive_)] {
+        if (alive.expired()) return;
+        const FileStamp current = read_stamp();
+        const FileStamp previous = std::exchange(last_, current);
+        if (previous != current) on_change_();
+        if (!alive.expired()) schedule_check();
+    });
+}
+
+}  // namespace silverreach::event
--- /dev/null
+++ b/src/event/file_watch.h
@@ -0,0 +1,40 @@
+// Polls a file for changes.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <string>
+
+#include "event/loop.h"
+
+namespace silverreach::event {
+
+// Calls back on the loop when the file's content may have changed: another inode, size or time of
+// change, in nanoseconds. (libev's own watcher compares whole seconds.)
+class FileWatch {
+  public:
+    // Checks `path` once in `period`; `on_change` may destroy the watch.
+    FileWatch(Loop& loop, std::string path, Micros period, std::function<void()> on_change);
+    FileWatch(const FileWatch&) = delete;
+    FileWatch& operator=(const FileWatch&) = delete;
+
+  private:
+    struct FileStamp {
+        std::int64_t inode = 0;
+        std::int64_t size_bytes = -1;  // -1: the file cannot be read
+        std::int64_t changed_ns = 0;
+        bool operator==(const FileStamp&) const = default;
+    };
+    FileStamp read_stamp() const;
+    void schedule_check();
+
+    Loop& loop_;
+    std::string path_;
+    Micros period_;
+    std::function<void()> on_change_;
+    FileStamp last_;
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace silverreach::event
--- /dev/null
+++ b/src/event/io_watcher.cpp
@@ -0,0 +1,51 @@
+#include "event/io_watcher.h"
+
+#include <utility>
+
+namespace silverreach::event {
+namespace {
+using namespace std::chrono_literals;
+constexpr Micros watch_retry_delay = 5ms;
+constexpr int priority_before_timers = 1;
+}  // namespace
+
+IoWatcher::IoWatcher(Loop& loop, int fd, std::function<void(int)> on_ready)
+    : loop_(loop), on_ready_(std::move(on_ready)) {
+    ev_io_init(
+        &io_,
+        [](struct ev_loop*, ev_io* watcher, int conditions) {
+            IoWatcher& self = *static_cast<IoWatcher*>(watcher->data);
+            if (conditions & EV_ERROR)
+                self.on_watch_failed();
+            else
+                self.on_ready_(conditions);
+        },
+        fd, 0);
+    // After a stall, responses that have arrived are read before a timer finds them missing.
+    ev_set_priority(&io_, priority_before_timers);
+    io_.data = this;
+}
+
+IoWatcher::~IoWatcher() {
+    ev_io_stop(loop_.raw(), &io_);
+}
+
+// The system refused the watch (no memory, too many watches) and libev has dropped it; nothing
+// else would ever wake its owner.
+void IoWatcher::on_watch_failed() {
+    const int wanted = std::exchange(interest_, none);
+    loop_.after(watch_retry_delay, [this, wanted, alive = std::weak_ptr<bool>(alive_)] {
+        if (!alive.expired() && interest_ == none) want(wanted);
+    });
+}
+
+void IoWatcher::want(int interest) {
+    if (interest == interest_) return;
+    ev_io_stop(loop_.raw(), &io_);
+    interest_ = interest;
+    if (interest == none) return;
+    ev_io_set(&io_, io_.fd, interest);
+    ev_io_start(loop_.raw(), &io_);
+}
+
+}  // namespace silverreach::event
--- a/src/event/listener.cpp
+++ b/src/event/listener.cpp
@@ -1,6 +1,5 @@
 #include "event/listener.h"
 
-#include <errno.h>
 #include <fcntl.h>
 #include <linux/filter.h>
 #include <poll.h>
@@ -8,34 +7,36 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <cerrno>
 #include <cstring>
-#include <stdexcept>
+#include <utility>
 
 #include "event/socket_address.h"
+#include "event/system_error.h"
 
 namespace silverreach::event {
 namespace {
 using namespace std::chrono_literals;
-constexpr int accepts_a_turn = 64;
+constexpr int max_accepts_per_turn = 64;
 constexpr Micros retry_period = 10ms;
-constexpr Micros shortage_passes = 100ms;  // until something idle is given up for it
-constexpr Micros shortage_lasts = 1s;      // until a connection without a word is closed for it
-constexpr Micros stop_most = 2s;           // for the last look at the queue
+constexpr Micros close_idle_after = 100ms;  // of a shortage of descriptors
+constexpr Micros close_silent_after = 1s;   // of a shortage of descriptors
+constexpr Micros stop_timeout = 2s;         // for accepting what waits in the queue
 
 Fd open_spare() {
     return Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC));
 }
 
-// No connection comes up any more, and those in the queue stay: without this one that comes up
-// between the last look and the close is reset. Where the system refuses it, that moment stays.
-void let_nothing_come_up(int fd) {
+// Completes no further connection and keeps those in the queue: without this, one that completes
+// between the last accept and the close is reset. Where the system refuses the filter, it still is.
+void block_new_connections(int fd) {
     sock_filter drop_all{BPF_RET | BPF_K, 0, 0, 0};
     const sock_fprog program{1, &drop_all};
     setsockopt(fd, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
 }
 
-// Errors of the one connection that was to be taken: the next may be well.
-bool of_one_connection(int error) {
+// Errors of the one connection that was to be accepted: the next may be sound.
+bool is_connection_error(int error) {
     switch (error) {
         case ECONNABORTED:
         case EINTR:
@@ -54,22 +55,35 @@
             return false;
     }
 }
-bool somebody_waits(int fd) {
-    pollfd look{fd, POLLIN, 0};
-    return ::poll(&look, 1, 0) > 0;
+bool has_waiting_connection(int fd) {
+    pollfd poll_accept{fd, POLLIN, 0};
+    return ::poll(&poll_accept, 1, 0) > 0;
 }
 bool has_bytes(int fd) {
-    char byte;
+    char byte = 0;
     return ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 }  // namespace
 
-Listener::Listener(Loop& loop, const std::string& ip, int port, bool v6, std::function<bool()> room,
-                   std::function<void(Fd, std::string)> accepted)
-    : loop_(loop), spare_(open_spare()), room_(std::move(room)), accepted_(std::move(accepted)) {
-    const auto fail = [&](const char* what) {
-        throw SystemRefused("listening on " + ip + " port " + std::to_string(port) + ": " + what +
-                            ": " + std::strerror(errno));
+Listener::Listener(Loop& loop, const std::string& ip, int port, bool v6,
+                   std::function<bool()> has_capacity,
+                   std::function<void(Fd, std::string)> on_accepted)
+    : loop_(loop),
+      spare_(open_spare()),
+      has_capacity_(std::move(has_capacity)),
+      on_accepted_(std::move(on_accepted)) {
+    open(ip, port, v6);
+    watcher_ = std::make_unique<IoWatcher>(loop, fd_.get(), [this](int) {
+        if (accept_batch() == AcceptResult::unavailable) pause();
+    });
+    watcher_->want(readable);
+}
+Listener::~Listener() = default;
+
+void Listener::open(const std::string& ip, int port, bool v6) {
+    const auto fail = [&](const char* operation) {
+        throw SystemError("listening on " + ip + " port " + std::to_string(port) + ": " +
+                          operation + ": " + std::strerror(errno));
     };
     fd_ = Fd(::socket(v6 ? AF_INET6 : AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!fd_) fail("socket");
@@ -81,79 +95,75 @@
     address.size = sizeof address.storage;
     getsockname(fd_.get(), address.get(), &address.size);
     port_ = address.port();
-    io_ = std::make_unique<Io>(loop, fd_.get(), [this](int) {
-        if (accept_some() == Took::none) pause();
-    });
-    io_->want(readable);
 }
-Listener::~Listener() = default;
 
 void Listener::stop() {
-    if (!fd_ || stop_by_ != 0us) return;
-    stop_by_ = loop_.now() + stop_most;
-    let_nothing_come_up(fd_.get());
-    io_->want(none);
-    take_rest();
+    if (!fd_ || stop_deadline_ != 0us) return;
+    stop_deadline_ = loop_.now() + stop_timeout;
+    block_new_connections(fd_.get());
+    watcher_->want(none);
+    accept_remaining();
 }
 
-// Bounded, as where the filter is refused more may go on coming.
-void Listener::take_rest() {
-    Took took = Took::some;
-    for (int turn = 0; turn < SOMAXCONN / accepts_a_turn && took == Took::some; ++turn)
-        took = accept_some();
-    if (took == Took::none && loop_.now() < stop_by_) {
+// Bounded, as connections may keep arriving where the filter is refused.
+void Listener::accept_remaining() {
+    AcceptResult result = AcceptResult::more_waiting;
+    for (int batch = 0; batch < SOMAXCONN / max_accepts_per_turn; ++batch) {
+        if (result != AcceptResult::more_waiting) break;
+        result = accept_batch();
+    }
+    if (result == AcceptResult::unavailable && loop_.now() < stop_deadline_) {
         loop_.after(retry_period, [this, alive = std::weak_ptr<bool>(alive_)] {
-            if (!alive.expired()) take_rest();
+            if (!alive.expired()) accept_remaining();
         });
         return;
     }
     fd_.reset();
 }
 
-Listener::Took Listener::accept_some() {
+Listener::AcceptResult Listener::accept_batch() {
     waiting_since_ = unwatched_since_ != 0us ? unwatched_since_ : loop_.ready_since();
-    int taken = 0;
-    for (int i = 0; i < accepts_a_turn; ++i) {
+    int accepted = 0;
+    for (int i = 0; i < max_accepts_per_turn; ++i) {
         SocketAddress from;
         const int fd = ::accept4(fd_.get(), from.get(), &from.size, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) {
             const int error = errno;
-            if (of_one_connection(error)) continue;
-            if (error != EAGAIN && error != EWOULDBLOCK) return accept_failed(error);
-            unwatched_since_ = short_since_ = 0us;
-            return Took::all;
+            if (is_connection_error(error)) continue;
+            if (error != EAGAIN && error != EWOULDBLOCK) return on_accept_failed(error);
+            unwatched_since_ = shortage_since_ = 0us;
+            return AcceptResult::queue_empty;
         }
-        short_since_ = 0us;
-        ++taken;
-        take(Fd(fd), from.ip());
+        shortage_since_ = 0us;
+        ++accepted;
+        deliver(Fd(fd), from.ip());
         if (!spare_) spare_ = open_spare();
     }
     unwatched_since_ = waiting_since_;
-    return taken > 0 ? Took::some : Took::none;
+    return accepted > 0 ? AcceptResult::more_waiting : AcceptResult::unavailable;
 }
 
-void Listener::take(Fd fd, std::string client) {
-    if (room_()) accepted_(std::move(fd), std::move(client));
+void Listener::deliver(Fd fd, std::string client) {
+    if (has_capacity_()) on_accepted_(std::move(fd), std::move(client));
 }
 
-// The queue keeps what waits. A shortage of a moment is waited for; in one that lasts something
-// idle goes first, and only then a connection that has said nothing.
-Listener::Took Listener::accept_failed(int error) {
+Listener::AcceptResult Listener::on_accept_failed(int error) {
     unwatched_since_ = waiting_since_;
-    relieve(error);
-    // accept fails for want of a descriptor though nobody waits: what comes next has come since
-    // now.
-    if (!somebody_waits(fd_.get())) unwatched_since_ = loop_.now();
-    return Took::none;
+    if (error == EMFILE || error == ENFILE) on_descriptor_shortage();
+    // accept fails for want of a descriptor though nothing waits: what arrives next has arrived
+    // since now.
+    if (!has_waiting_connection(fd_.get())) unwatched_since_ = loop_.now();
+    return AcceptResult::unavailable;
 }
 
-void Listener::relieve(int error) {
-    if (error != EMFILE && error != ENFILE) return;
+// A short shortage is waited out. In a lasting one something idle is closed first, and only then a
+// connection that has sent nothing.
+void Listener::on_descriptor_shortage() {
     const Micros now = loop_.now();
-    if (short_since_ == 0us) short_since_ = now;
-    if (now - short_since_ < shortage_passes) return;
-    if (give_up_idle_ && give_up_idle_()) return;
-    if (now - short_since_ >= shortage_lasts) accept_with_spare();
+    if (shortage_since_ == 0us) shortage_since_ = now;
+    if (now - shortage_since_ < close_idle_after) return;
+    if (close_idle_ && close_idle_()) return;
+    if (now - shortage_since_ >= close_silent_after) accept_with_spare();
 }
 
 void Listener::accept_with_spare() {
@@ -161,18 +171,18 @@
     spare_.reset();
     SocketAddress from;
     Fd fd(::accept4(fd_.get(), from.get(), &from.size, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (fd && has_bytes(fd.get()))
-        return take(std::move(fd), from.ip());  // in the spare one's place
+    // It keeps the descriptor of the spare one.
+    if (fd && has_bytes(fd.get())) return deliver(std::move(fd), from.ip());
     fd.reset();
     spare_ = open_spare();
 }
 
 void Listener::pause() {
-    io_->want(none);
+    watcher_->want(none);
     loop_.after(retry_period, [this, alive = std::weak_ptr<bool>(alive_)] {
-        if (alive.expired() || !fd_ || stop_by_ != 0us) return;
-        if (accept_some() == Took::none) return pause();
-        io_->want(readable);
+        if (alive.expired() || !fd_ || stop_deadline_ != 0us) return;
+        if (accept_batch() == AcceptResult::unavailable) return pause();
+        watcher_->want(readable);
     });
 }
 
--- a/src/event/listener.h
+++ b/src/event/listener.h
@@ -1,63 +1,71 @@
-// A listening socket. It takes connections as long as its owner has room, and through moments in
-// which accept fails: none that waits in the system's queue is given up for an error that passes.
+// A listening socket that keeps accepting through moments in which accept fails.
 #pragma once
 
 #include <functional>
 #include <memory>
 #include <string>
 
+#include "event/fd.h"
+#include "event/io_watcher.h"
 #include "event/loop.h"
 
 namespace silverreach::event {
 
+// Accepts connections as long as its owner has capacity. A transient error of accept leaves the
+// waiting connections in the system's queue; a lasting shortage of descriptors closes something
+// idle first, and only then a connection that has sent nothing.
+//
+// States: listening; paused, after accept failed, until the next retry; stopping, which empties the
+// queue; closed. Used on the loop's thread.
 class Listener {
   public:
-    // `accepted` gets each connection and the other side's address; while `room` returns false
-    // connections are closed at once. Throws std::runtime_error with a plain message.
-    Listener(Loop& loop, const std::string& ip, int port, bool v6, std::function<bool()> room,
-             std::function<void(Fd, std::string)> accepted);
+    // Binds and listens at once; port 0 takes a free one. `has_capacity` is called for each
+    // connection: where it returns false the connection is closed at once, else `on_accepted` gets
+    // it with the peer's address. Throws SystemError with a plain message.
+    Listener(Loop& loop, const std::string& ip, int port, bool v6,
+             std::function<bool()> has_capacity, std::function<void(Fd, std::string)> on_accepted);
     ~Listener();
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
 
-    // Asked where descriptors stay short: gives up something idle; false where there is nothing.
-    void on_shortage(std::function<bool()> give_up_idle) {
-        give_up_idle_ = std::move(give_up_idle);
-    }
-    // Within `accepted`: since when the connection may have waited, with what its client wrote.
+    // Called while descriptors stay short: closes something idle, or returns false where there is
+    // nothing.
+    void on_shortage(std::function<bool()> close_idle) { close_idle_ = std::move(close_idle); }
+    // Within on_accepted: since when the connection, with what its client wrote, may have waited.
     Micros waiting_since() const { return waiting_since_; }
     int port() const { return port_; }
-    // Lets no new connection come up, takes those that have, again for a while where that fails,
-    // then closes.
+    // Lets the system complete no further connection, accepts those that wait, retrying for a while
+    // where that fails, then closes.
     void stop();
     bool listening() const { return static_cast<bool>(fd_); }
 
   private:
-    enum class Took {
-        all,
-        some,
-        none
-    };  // none: accept fails, for now
-    Took accept_some();
-    Took accept_failed(int error);
-    void take(Fd fd, std::string client);
-    void relieve(int error);
+    enum class AcceptResult {
+        queue_empty,
+        more_waiting,  // the limit of one turn was reached
+        unavailable    // accept fails, for now
+    };
+    void open(const std::string& ip, int port, bool v6);
+    AcceptResult accept_batch();
+    AcceptResult on_accept_failed(int error);
+    void on_descriptor_shortage();
+    void deliver(Fd fd, std::string client);
     void accept_with_spare();
     void pause();
-    void take_rest();
+    void accept_remaining();
 
     Loop& loop_;
     Fd fd_;
-    Fd spare_;  // given up for a moment to take a connection when descriptors run out
+    Fd spare_;  // closed for a moment to accept a connection when descriptors run out
     int port_ = 0;
-    std::function<bool()> room_;
-    std::function<void(Fd, std::string)> accepted_;
-    std::function<bool()> give_up_idle_;
-    std::unique_ptr<Io> io_;
+    std::function<bool()> has_capacity_;
+    std::function<void(Fd, std::string)> on_accepted_;
+    std::function<bool()> close_idle_;
+    std::unique_ptr<IoWatcher> watcher_;
     Micros waiting_since_{0};
-    Micros unwatched_since_{0};  // the queue may have filled since then; 0: the loop looked
-    Micros short_since_{0};      // of descriptors; 0: not short
-    Micros stop_by_{0};          // 0: it goes on
+    Micros unwatched_since_{0};  // the queue may have filled since then; 0: it was watched
+    Micros shortage_since_{0};   // of descriptors; 0: none
+    Micros stop_deadline_{0};    // 0: not stopping
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/event/signal.cpp
+++ b/src/event/signal.cpp
@@ -1,82 +1,93 @@
 #include "event/signal.h"
 
-#include <signal.h>
 #include <sys/eventfd.h>
 #include <unistd.h>
 
 #include <array>
 #include <atomic>
 #include <cerrno>
+#include <csignal>
 #include <map>
+#include <memory>
+
+#include "event/fd.h"
+#include "event/io_watcher.h"
 
 namespace silverreach::event {
 namespace {
-constexpr int most_signals = 65;
-std::array<std::atomic<bool>, most_signals> came{};
+constexpr int signal_count = 65;  // numbers 1 to 64
+std::array<std::atomic<bool>, signal_count> raised{};
 std::atomic<int> wake_fd{-1};
 
-void note(int number) {
-    const int error = errno;
-    came[static_cast<std::size_t>(number)] = true;
+// Async-signal-safe.
+void on_raised(int number) {
+    const int saved_errno = errno;
+    raised[static_cast<std::size_t>(number)] = true;
     const std::uint64_t one = 1;
     if (wake_fd >= 0 && ::write(wake_fd, &one, sizeof one) < 0) {
-        // The next turn sees the note.
+        // The loop's next turn reads the flag.
     }
-    errno = error;
+    errno = saved_errno;
+}
+
+void install_handler(int number, void (*handler)(int)) {
+    struct sigaction action {};
+    action.sa_handler = handler;
+    ::sigaction(number, &action, nullptr);
 }
 
-// What the signals of one loop share.
-class Hub {
+// What the signals of one loop share: the wake-up descriptor and the callbacks.
+class SignalDispatcher {
   public:
-    explicit Hub(Loop& loop) : loop_(loop), fd_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-        loop_.each_turn([this] { call_those_that_came(); });
+    explicit SignalDispatcher(Loop& loop)
+        : loop_(loop), fd_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+        loop_.on_each_turn([this] { dispatch_raised(); });
         if (!fd_) return;  // the loop's timers wake it
         wake_fd = fd_.get();
-        io_ = std::make_unique<Io>(loop, fd_.get(), [this](int) {
-            std::uint64_t count = 0;
-            while (::read(fd_.get(), &count, sizeof count) < 0 && errno == EINTR) {
-            }
-        });
-        io_->want(readable);
+        watcher_ = std::make_unique<IoWatcher>(loop, fd_.get(), [this](int) { clear_wakeup(); });
+        watcher_->want(readable);
     }
-    ~Hub() {
+    ~SignalDispatcher() {
         wake_fd = -1;
-        loop_.each_turn({});
+        loop_.on_each_turn({});
     }
-    std::map<int, std::function<void()>> calls;
+    void add(int number, std::function<void()> callback) {
+        callbacks_[number] = std::move(callback);
+    }
+    void remove(int number) { callbacks_.erase(number); }
+    bool empty() const { return callbacks_.empty(); }
 
   private:
-    void call_those_that_came() {
-        for (auto it = calls.begin(); it != calls.end();) {
-            const auto next = std::next(it);
-            if (came[static_cast<std::size_t>(it->first)].exchange(false))
-                loop_.after(Micros(0), it->second);
-            it = next;
+    void dispatch_raised() {
+        for (const auto& [number, callback] : callbacks_)
+            if (raised[static_cast<std::size_t>(number)].exchange(false))
+                loop_.after(Micros(0), callback);
+    }
+    void clear_wakeup() const {
+        std::uint64_t count = 0;
+        while (::read(fd_.get(), &count, sizeof count) < 0 && errno == EINTR) {
         }
     }
+
     Loop& loop_;
     Fd fd_;
-    std::unique_ptr<Io> io_;
+    std::unique_ptr<IoWatcher> watcher_;
+    std::map<int, std::function<void()>> callbacks_;
 };
-std::unique_ptr<Hub> hub;
-
-void handle(int number, void (*handler)(int)) {
-    struct sigaction action {};
-    action.sa_handler = handler;
-    ::sigaction(number, &action, nullptr);
-}
+std::unique_ptr<SignalDispatcher> dispatcher;
 }  // namespace
 
-Signal::Signal(Loop& loop, int number, std::function<void()> call) : number_(number) {
-    if (!hub) hub = std::make_unique<Hub>(loop);
-    came[static_cast<std::size_t>(number)] = false;
-    hub->calls[number] = std::move(call);
-    handle(number, note);
+Signal::Signal(Loop& loop, int number, std::function<void()> on_signal) : number_(number) {
+    if (!dispatcher) dispatcher = std::make_unique<SignalDispatcher>(loop);
+    raised[static_cast<std::size_t>(number)] = false;
+    dispatcher->add(number, std::move(on_signal));
+    install_handler(number, on_raised);
 }
+
 Signal::~Signal() {
-    handle(number_, SIG_DFL);
-    hub->calls.erase(number_);
-    if (hub->calls.empty()) hub.reset();
+    install_handler(number_, SIG_DFL);
+    dispatcher->remove(number_);
+    if (dispatcher->empty()) dispatcher.reset();
 }
 
 }  // namespace silverreach::event
--- a/src/event/socket_address.cpp
+++ b/src/event/socket_address.cpp
@@ -2,6 +2,8 @@
 
 #include <arpa/inet.h>
 
+#include <array>
+
 namespace silverreach::event {
 
 SocketAddress::SocketAddress(const std::string& ip, int port, bool v6) {
@@ -21,14 +23,14 @@
 }
 
 std::string SocketAddress::ip() const {
-    char text[INET6_ADDRSTRLEN] = "";
+    std::array<char, INET6_ADDRSTRLEN> text{};
     if (storage.ss_family == AF_INET6)
-        inet_ntop(AF_INET6, &reinterpret_cast<const sockaddr_in6&>(storage).sin6_addr, text,
-                  sizeof text);
+        inet_ntop(AF_INET6, &reinterpret_cast<const sockaddr_in6&>(storage).sin6_addr, text.data(),
+                  text.size());
     else
-        inet_ntop(AF_INET, &reinterpret_cast<const sockaddr_in&>(storage).sin_addr, text,
-                  sizeof text);
-    return text;
+        inet_ntop(AF_INET, &reinterpret_cast<const sockaddr_in&>(storage).sin_addr, text.data(),
+                  text.size());
+    return text.data();
 }
 
 int SocketAddress::port() const {
--- a/src/event/socket_address.h
+++ b/src/event/socket_address.h
@@ -9,7 +9,9 @@
 namespace silverreach::event {
 
 struct SocketAddress {
+    // Room for any address, for the system to fill in.
     SocketAddress() = default;
+    // `ip`: the text of an address of the family that `v6` names; else the address is all zeros.
     SocketAddress(const std::string& ip, int port, bool v6);
     sockaddr* get() { return reinterpret_cast<sockaddr*>(&storage); }
     std::string ip() const;
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -1,6 +1,5 @@
 #include "event/stream.h"
 
-#include <errno.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <poll.h>
@@ -8,21 +7,26 @@
 #include <sys/uio.h>
 #include <unistd.h>
 
-#include <cstring>
+#include <algorithm>
+#include <array>
+#include <cerrno>
+#include <utility>
 
 #include "event/socket_address.h"
 
 namespace silverreach::event {
 namespace {
 using namespace std::chrono_literals;
-constexpr std::size_t read_size = 64 * 1024, keep_capacity = 4096, most_pieces = 4;
+constexpr std::size_t read_size = std::size_t{64} * 1024;  // bytes of one read
+constexpr std::size_t idle_out_capacity = 4096;            // bytes that an empty out buffer keeps
+constexpr std::size_t max_pieces = 4;
 
 ssize_t peek(int fd) {
     char byte;
     return ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 }
-// The call did nothing and says nothing of the connection: it can be made again.
-bool retry_later(int error) {
+// The call did nothing and says nothing about the connection: it can be made again.
+bool is_transient(int error) {
     return error == EAGAIN || error == EWOULDBLOCK || error == EINTR || error == ENOMEM ||
            error == ENOBUFS;
 }
@@ -32,8 +36,9 @@
     : loop_(loop), fd_(std::move(fd)), owner_(owner), connecting_(connecting) {
     const int on = 1;
     setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    io_ = std::make_unique<Io>(loop, fd_.get(), [this](int got) { ready(got); });
-    interest();
+    watcher_ = std::make_unique<IoWatcher>(loop, fd_.get(),
+                                           [this](int conditions) { on_ready(conditions); });
+    update_interest();
 }
 
 Stream::Stream(Loop& loop, Fd fd, StreamOwner& owner, Micros waiting_since)
@@ -42,19 +47,21 @@
     watched_from_turn_ = loop.turn() + 1;
 }
 
-void Stream::interest() {
+void Stream::update_interest() {
     if (closed()) return;
-    const bool out = connecting_ || queued() > 0;
-    io_->want((reading_ && !connecting_ && !told_end_ ? readable : none) | (out ? writable : none));
+    const bool wants_read = reading_ && !connecting_ && !end_reported_;
+    const bool wants_write = connecting_ || queued() > 0;
+    watcher_->want((wants_read ? readable : none) | (wants_write ? writable : none));
 }
+
 void Stream::read(bool on) {
     if (reading_ && !on && unwatched_since_ == 0us) unwatched_since_ = loop_.now();
-    // Nothing has come while nobody looked: as if the loop had.
+    // Nothing has arrived while it was not watched: as if it had been.
     if (!reading_ && !closed() && unwatched_since_ != 0us && !unread())
         unwatched_since_ = loop_.now();
     if (!reading_ && on) watched_from_turn_ = loop_.turn() + 1;
     reading_ = on;
-    interest();
+    update_interest();
 }
 
 void Stream::write(std::string_view bytes) {
@@ -64,103 +71,108 @@
     if (closed() || ended_) return;
     std::size_t done = 0;
     if (!connecting_ && queued() == 0) {
-        iovec parts[most_pieces];
+        std::array<iovec, max_pieces> parts{};
         msghdr message{};
-        message.msg_iov = parts;
+        message.msg_iov = parts.data();
         for (const std::string_view piece : pieces)
-            if (!piece.empty() && message.msg_iovlen < most_pieces)
+            if (!piece.empty() && message.msg_iovlen < max_pieces)
                 parts[message.msg_iovlen++] = {const_cast<char*>(piece.data()), piece.size()};
-        const ssize_t n = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
-        // An error shows again at the next turn, where the owner can be told without being in its
-        // own call.
-        done = n > 0 ? static_cast<std::size_t>(n) : 0;
+        const ssize_t count = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
+        // An error shows again at the next turn, where on_broken does not interrupt the owner's own
+        // call.
+        done = count > 0 ? static_cast<std::size_t>(count) : 0;
     }
     for (const std::string_view piece : pieces) {
         const std::size_t sent = std::min(done, piece.size());
         done -= sent;
         out_.append(piece.substr(sent));
     }
-    interest();
+    update_interest();
 }
 
-void Stream::ready(int got) {
+void Stream::on_ready(int conditions) {
     if (closed()) return;
-    if (connecting_) {
-        int error = 0;
-        socklen_t size = sizeof error;
-        getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-        if (error) return broken(error);
-        connecting_ = false;
-        owner_.on_connected();
-        if (closed()) return;
-        flush();
-        return interest();
-    }
-    if (got & writable) flush();
-    if (!closed() && (got & readable) && reading_) receive();
-    interest();
+    if (connecting_) return finish_connect();
+    if (conditions & writable) flush();
+    if (!closed() && (conditions & readable) && reading_) receive();
+    update_interest();
+}
+
+void Stream::finish_connect() {
+    int error = 0;
+    socklen_t size = sizeof error;
+    getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
+    if (error) return fail(error);
+    connecting_ = false;
+    owner_.on_connected();
+    if (closed()) return;
+    flush();
+    update_interest();
 }
 
 void Stream::receive() {
-    thread_local char buffer[read_size];
-    const ssize_t n = ::recv(fd_.get(), buffer, sizeof buffer, 0);
-    if (n > 0) {
-        note_arrival(static_cast<std::size_t>(n) < sizeof buffer);
-        return owner_.on_data({buffer, static_cast<std::size_t>(n)});
+    thread_local std::array<char, read_size> buffer;
+    const ssize_t count = ::recv(fd_.get(), buffer.data(), buffer.size(), 0);
+    if (count > 0) {
+        note_arrival(static_cast<std::size_t>(count) < buffer.size());
+        return owner_.on_data({buffer.data(), static_cast<std::size_t>(count)});
     }
-    if (n < 0 && retry_later(errno)) return;
-    if (n < 0) return broken(errno);
-    told_end_ = true;
+    if (count < 0 && is_transient(errno)) return;
+    if (count < 0) return fail(errno);
+    end_reported_ = true;
     owner_.on_end();
 }
 
-// The first turn that watches again finds what came while nobody did; a later one only what came
-// since the last.
-void Stream::note_arrival(bool all_taken) {
+// The first turn that watches again finds what arrived while the socket was not watched; a later
+// one only what arrived since the last.
+void Stream::note_arrival(bool socket_emptied) {
     const bool unwatched = unwatched_since_ != 0us && loop_.turn() <= watched_from_turn_;
     arrived_ = unwatched ? unwatched_since_ : loop_.ready_since();
     unwatched_since_ = 0us;
-    if (all_taken) return;
+    if (socket_emptied) return;
     unwatched_since_ = arrived_;
     watched_from_turn_ = loop_.turn() + 1;
 }
 
 void Stream::flush() {
     if (queued() == 0) return;
-    const ssize_t n = ::send(fd_.get(), out_.data() + sent_, queued(), MSG_NOSIGNAL);
-    if (n < 0 && retry_later(errno)) return;
-    if (n < 0) return broken(errno);
-    sent_ += static_cast<std::size_t>(n);
+    const ssize_t count = ::send(fd_.get(), out_.data() + sent_, queued(), MSG_NOSIGNAL);
+    if (count < 0 && is_transient(errno)) return;
+    if (count < 0) return fail(errno);
+    sent_ += static_cast<std::size_t>(count);
     if (queued() > 0) {
         if (sent_ > read_size) out_.erase(0, std::exchange(sent_, 0));
         return;
     }
-    out_.clear(), sent_ = 0;
-    if (out_.capacity() > keep_capacity) out_.shrink_to_fit();
+    out_.clear();
+    sent_ = 0;
+    if (out_.capacity() > idle_out_capacity) out_.shrink_to_fit();
     if (ended_) ::shutdown(fd_.get(), SHUT_WR);
     owner_.on_drained();
 }
 
-void Stream::broken(int error) {
+void Stream::fail(int error) {
     close();
     owner_.on_broken(error);
 }
+
 bool Stream::unread() const {
     if (closed()) return false;
-    const ssize_t n = peek(fd_.get());
-    return n >= 0 || !retry_later(errno);
-}
-bool Stream::left() const {
-    if (closed() || told_end_) return true;
-    const ssize_t n = peek(fd_.get());
-    if (n == 0 || (n < 0 && !retry_later(errno))) return true;
-    if (n < 0) return false;
+    return peek(fd_.get()) >= 0 || !is_transient(errno);
+}
+
+bool Stream::peer_closed() const {
+    if (closed() || end_reported_) return true;
+    const ssize_t count = peek(fd_.get());
+    if (count == 0 || (count < 0 && !is_transient(errno))) return true;
+    if (count < 0) return false;
     // The end may stand behind bytes that were not read.
-    pollfd look{fd_.get(), POLLRDHUP, 0};
-    return ::poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+    pollfd poll_end{fd_.get(), POLLRDHUP, 0};
+    return ::poll(&poll_end, 1, 0) > 0 && (poll_end.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
+
 void Stream::close() {
-    if (io_) io_->want(none);
+    if (watcher_) watcher_->want(none);
     fd_.reset();
 }
 void Stream::reset() {
@@ -196,12 +208,18 @@
 Fd connect_to(const std::string& ip, int port, bool v6, int& error) {
     Fd fd(::socket(v6 ? AF_INET6 : AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     error = 0;
-    if (!fd) return error = errno, Fd();
-    SocketAddress a(ip, port, v6);
+    if (!fd) {
+        error = errno;
+        return {};
+    }
+    SocketAddress address(ip, port, v6);
     // Interrupted, it goes on by itself like one under way.
-    const bool under_way =
-        ::connect(fd.get(), a.get(), a.size) == 0 || errno == EINPROGRESS || errno == EINTR;
-    if (!under_way) return error = errno, Fd();
+    const bool under_way = ::connect(fd.get(), address.get(), address.size) == 0 ||
+                           errno == EINPROGRESS || errno == EINTR;
+    if (!under_way) {
+        error = errno;
+        return {};
+    }
     return fd;
 }
 
--- a/src/event/system_random.h
+++ b/src/event/system_random.h
@@ -1,6 +1,4 @@
-// Random numbers of the system's own source, for names that nobody may guess. Holds a page of them,
-// so that most calls cost no system call. Not to be copied: two copies would name two requests
-// alike.
+// Random numbers of the system's own source, for names that must not be guessed.
 #pragma once
 
 #include <array>
@@ -9,6 +7,8 @@
 
 namespace silverreach::event {
 
+// Buffers a page of numbers, so that most calls cost no system call. Not copyable: two copies
+// would generate the same names. For one thread.
 class SystemRandom {
   public:
     SystemRandom() = default;
@@ -17,8 +17,8 @@
     std::uint64_t operator()();
 
   private:
-    std::array<std::uint64_t, 512> page_{};
-    std::size_t used_ = page_.size();
+    std::array<std::uint64_t, 512> buffer_{};
+    std::size_t used_ = buffer_.size();
 };
 
 }  // namespace silverreach::event
--- a/src/frontend/http/connection.cpp
+++ b/src/frontend/http/connection.cpp
@@ -47,9 +47,9 @@
 
 // A request's time runs from when its first byte came, also where it waited for its turn.
 std::size_t Front::Connection::feed(std::string_view bytes) {
-    if (parser_.idle()) since_ = arrivals_.of(1, front_.loop_.now());
+    if (parser_.idle()) since_ = arrivals_.time_of(1, front_.loop_.now());
     const std::size_t taken = parser_.feed(bytes);
-    arrivals_.take(taken);
+    arrivals_.consume(taken);
     return taken;
 }
 
@@ -277,7 +277,7 @@
 // Where clients may end their half and wait on, an end tells nothing.
 void Front::Connection::look_for_client() {
     const bool may_wait = front_.config_.listen().half_closed() == config::Listen::ANSWER;
-    if (may_wait || state_ == State::gone || !stream_.left()) return;
+    if (may_wait || state_ == State::gone || !stream_.peer_closed()) return;
     leave_request();
     go();
 }
--- a/src/frontend/resp/connection.cpp
+++ b/src/frontend/resp/connection.cpp
@@ -42,7 +42,7 @@
         return;
     }
     // Its end may have come with the bytes: nobody waits for what they ask.
-    if (stream_.left()) return close(CloseReason::client_ended);
+    if (stream_.peer_closed()) return close(CloseReason::client_ended);
     since_ = front_.loop_.now();
     if (ending_) {  // after a broken frame nothing makes a command any more
         if ((dropped_ += bytes.size()) > linger_bytes) stream_.read(false);
@@ -57,7 +57,7 @@
 
 // What waited here may be of a client that has gone since, its end behind bytes that were not read.
 void Front::Connection::work() {
-    if (!working_ && !gone_ && stream_.left()) return close(CloseReason::client_ended);
+    if (!working_ && !gone_ && stream_.peer_closed()) return close(CloseReason::client_ended);
     take_commands();
 }
 
@@ -91,16 +91,16 @@
             words.push_back(reader_.word(rest, i));
         taken += reader_.size();
         const Micros now = front_.loop_.now();
-        request(words, now - arrivals_.of(taken, now));
+        request(words, now - arrivals_.time_of(taken, now));
         rest = std::string_view(in_).substr(taken);
         reader_.next();
     }
     working_ = false;
     if (gone_) return;
     in_.erase(0, taken);
-    arrivals_.take(taken);
+    arrivals_.consume(taken);
     if (ending_) in_.clear();
-    if (in_.empty()) arrivals_.take_all();
+    if (in_.empty()) arrivals_.consume_all();
     if (in_.empty() && in_.capacity() > 4096) in_.shrink_to_fit();
     keep(before);
     if (in_.empty())
--- a/src/frontend/resp/connection.h
+++ b/src/frontend/resp/connection.h
@@ -23,7 +23,7 @@
     void leave(CloseReason reason);
     bool lingering() const { return lingering_; }
     bool left() const {
-        return stream_.left();
+        return stream_.peer_closed();
     }  // the client has gone, though the loop has not told yet
     // Looks at the time: a connection that owes a command, or has been idle, goes.
     void look(Micros now);
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -10,6 +10,8 @@
 #include <cstring>
 #include <stdexcept>
 
+#include "event/system_error.h"
+
 namespace silverreach::peers {
 namespace {
 constexpr std::string_view magic = "SRCH";
@@ -100,9 +102,9 @@
     const Address& own = *addresses_[static_cast<std::size_t>(rank_)];
     fd_ = event::Fd(::socket(own.storage.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!fd_ || ::bind(fd_.get(), own.get(), own.size) != 0)
-        throw event::SystemRefused("peers: no socket at this instance's own address: " +
-                                   std::string(std::strerror(errno)));
-    io_ = std::make_unique<event::Io>(loop, fd_.get(), [this](int) { receive(); });
+        throw event::SystemError("peers: no socket at this instance's own address: " +
+                                 std::string(std::strerror(errno)));
+    io_ = std::make_unique<event::IoWatcher>(loop, fd_.get(), [this](int) { receive(); });
     io_->want(event::readable);
 }
 Peers::~Peers() = default;
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -10,6 +10,8 @@
 #include <vector>
 
 #include "config/config.h"
+#include "event/fd.h"
+#include "event/io_watcher.h"
 #include "event/loop.h"
 
 namespace silverreach::peers {
@@ -64,7 +66,7 @@
     int rank_;
     std::vector<std::unique_ptr<Address>> addresses_;  // by rank
     event::Fd fd_;
-    std::unique_ptr<event::Io> io_;
+    std::unique_ptr<event::IoWatcher> io_;
     Stats stats_;
 };
 
--- a/src/peers/plain.cpp
+++ b/src/peers/plain.cpp
@@ -8,6 +8,8 @@
 #include <cstring>
 #include <stdexcept>
 
+#include "event/system_error.h"
+
 namespace silverreach::peers {
 namespace {
 constexpr int receives_a_turn = 64;
@@ -38,9 +40,9 @@
     const Address own(listen);
     fd_ = event::Fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!fd_ || ::bind(fd_.get(), own.get(), sizeof own.four) != 0)
-        throw event::SystemRefused("peers: no socket at " + listen.text() + ": " +
-                                   std::strerror(errno));
-    io_ = std::make_unique<event::Io>(loop, fd_.get(), [this](int) { receive(); });
+        throw event::SystemError("peers: no socket at " + listen.text() + ": " +
+                                 std::strerror(errno));
+    io_ = std::make_unique<event::IoWatcher>(loop, fd_.get(), [this](int) { receive(); });
     io_->want(event::readable);
 }
 PlainPeers::~PlainPeers() = default;
--- a/src/peers/plain.h
+++ b/src/peers/plain.h
@@ -8,6 +8,8 @@
 #include <vector>
 
 #include "config/config.h"
+#include "event/fd.h"
+#include "event/io_watcher.h"
 #include "event/loop.h"
 
 namespace silverreach::peers {
@@ -39,7 +41,7 @@
     std::vector<Address> addresses_;  // by rank
     std::vector<Address> all_;        // one or none
     event::Fd fd_;
-    std::unique_ptr<event::Io> io_;
+    std::unique_ptr<event::IoWatcher> io_;
     Stats stats_;
 };
 
--- a/src/registry/book.h
+++ b/src/registry/book.h
@@ -6,7 +6,8 @@
 #include <string>
 
 #include "config/config.h"
-#include "event/background.h"
+#include "event/background_task.h"
+#include "event/file_watch.h"
 #include "registry/store.h"
 
 namespace silverreach::registry {
@@ -39,7 +40,7 @@
     Hooks hooks_;
     std::unique_ptr<accounts::Registry> registry_;
     bool again_ = false;
-    event::Background background_;
+    event::BackgroundTask background_;
     event::FileWatch watch_;
 };
 
--- a/src/registry/store.h
+++ b/src/registry/store.h
@@ -7,6 +7,7 @@
 #include <string>
 
 #include "accounts/journal.h"
+#include "event/fd.h"
 #include "event/loop.h"
 
 namespace silverreach::registry {
--- a/tests/event/event_test.cpp
+++ b/tests/event/event_test.cpp
@@ -5,7 +5,7 @@
 
 #include "event/listener.h"
 #include "event/stream.h"
-#include "event/token_timers.h"
+#include "event/timer_wheel.h"
 
 using namespace silverreach::event;
 using namespace std::chrono_literals;
@@ -42,7 +42,7 @@
     ASSERT_EQ(::pipe(pipe), 0);
     Fd in(pipe[0]), out(pipe[1]);
     std::string order;
-    Io io(loop, in.get(), [&](int) {
+    IoWatcher io(loop, in.get(), [&](int) {
         order += "read ";
         io.want(none);
     });
@@ -57,11 +57,11 @@
     EXPECT_EQ(order, "read timer ");
 }
 
-TEST(TokenTimers, EachFiresOnceAtItsTimeOrUpToAMillisecondLater) {
+TEST(TimerWheel, EachFiresOnceAtItsTimeOrUpToAMillisecondLater) {
     Loop loop;
     std::vector<std::pair<Micros, int>> fired(3000, {Micros(0), 0});
     std::vector<Micros> due(fired.size());
-    TokenTimers timers(loop, [&](std::uint64_t token) {
+    TimerWheel timers(loop, [&](std::uint64_t token) {
         fired[token].first = loop.now();
         ++fired[token].second;
     });
@@ -87,11 +87,11 @@
     }
 }
 
-TEST(TokenTimers, OneThatStartsAnotherForNowDoesNotSpin) {
+TEST(TimerWheel, OneThatStartsAnotherForNowDoesNotSpin) {
     Loop loop;
     int fired = 0;
-    TokenTimers* self = nullptr;
-    TokenTimers timers(loop, [&](std::uint64_t token) {
+    TimerWheel* self = nullptr;
+    TimerWheel timers(loop, [&](std::uint64_t token) {
         ++fired;
         self->start(0us, token);
     });
--- a/tests/soak/world.cpp
+++ b/tests/soak/world.cpp
@@ -110,7 +110,7 @@
                              uid());
     peer.working_on = id;
     others.push_back([&peer, alive = std::weak_ptr<bool>(peer.alive)] {
-        if (!alive.expired() && !peer.over && peer.stream.left()) peer.end(false);
+        if (!alive.expired() && !peer.over && peer.stream.peer_closed()) peer.end(false);
     });
     const Micros service = std::chrono::milliseconds(3 + world_.below(40));
     world_.loop.after(service, [this, &peer, id, alive = std::weak_ptr<bool>(peer.alive)] {
--- a/tests/support/node_process.h
+++ b/tests/support/node_process.h
@@ -16,6 +16,7 @@
 #include <string>
 #include <vector>
 
+#include "event/fd.h"
 #include "event/loop.h"
 #include "tests/support/faults.h"
 
