--- a/bench/bare_relay.cpp
+++ b/bench/bare_relay.cpp
@@ -9,9 +9,9 @@
     http::Parser parser;
     http::Head head;
     std::string body;
-    front::ClientSide side;
+    front::ClientCapabilities client;
     event::SystemRandom random;
-    front::Identity identity;
+    front::RequestIdentity identity;
     front::Framing framing = front::Framing::none;
     Connection(BareRelay& r, event::Fd fd)
         : relay(r),
@@ -20,11 +20,11 @@
     void on_data(std::string_view bytes) override {
         parser.feed(bytes);
         if (!parser.done()) return;
-        identity = front::identity_of(head, random);
-        side = {head.minor, head.method == "HEAD", head.keep_alive, false};
+        identity = front::identify_request(head, random);
+        client = {head.minor, head.method == "HEAD", head.keep_alive, false, {}};
         auto out = std::make_shared<upstream_http::OutRequest>();
-        out->head =
-            front::head_for_host(head, head.target, identity, "127.0.0.1", "relay", body.size());
+        out->head = front::request_head_for_host(head, head.target, identity, "127.0.0.1", "relay",
+                                                 body.size());
         out->body = std::move(body);
         const RequestId id = relay.next_++;
         relay.by_id_[id] = this;
@@ -57,7 +57,8 @@
 bool BareRelay::answer_begins(const core::AttemptKey& key, const std::string&, Micros,
                               const LoadReport&, http::Head& head) {
     Connection& c = *by_id_.at(key.request);
-    c.stream.write(front::head_for_client(head, c.side, c.identity.request_id, "relay", c.framing));
+    c.stream.write(
+        front::response_head_for_client(head, c.client, c.identity.request_id, "relay", c.framing));
     return true;
 }
 void BareRelay::answer_body(const core::AttemptKey& key, std::string_view bytes) {
--- a/bench/bare_relay.h
+++ b/bench/bare_relay.h
@@ -7,7 +7,7 @@
 #include <unordered_map>
 
 #include "event/listener.h"
-#include "frontend/http/translate.h"
+#include "frontend/http/message_translation.h"
 #include "upstream/http/upstream.h"
 
 namespace silverreach::bench {
--- a/bench/parts_bench.cpp
+++ b/bench/parts_bench.cpp
@@ -7,7 +7,7 @@
 
 #include "accounts/journal.h"
 #include "core/core.h"
-#include "frontend/http/translate.h"
+#include "frontend/http/message_translation.h"
 #include "openapi/description.h"
 
 using namespace silverreach;
@@ -102,13 +102,13 @@
     for (auto _ : state) {
         requests.feed(request);
         requests.next();
-        const auto identity = frontend::http::identity_of(in.head, random);
-        benchmark::DoNotOptimize(frontend::http::head_for_host(
+        const auto identity = frontend::http::identify_request(in.head, random);
+        benchmark::DoNotOptimize(frontend::http::request_head_for_host(
             in.head, "/sites/merja/tally", identity, "127.0.0.1", "silverreach-0", 0));
         answers.feed(answer);
         answers.next();
-        benchmark::DoNotOptimize(frontend::http::head_for_client(out.head, {}, identity.request_id,
-                                                                 "silverreach-0", framing));
+        benchmark::DoNotOptimize(frontend::http::response_head_for_client(
+            out.head, {}, identity.request_id, "silverreach-0", framing));
     }
 }
 BENCHMARK(codec);
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -63,10 +63,12 @@
         peers_ = std::make_unique<peers::Peers>(loop, config, [this](int rank, std::string bytes) {
             core_->on_peer_message(loop_.now(), {rank, std::move(bytes)});
         });
-    frontend::http::Front::Hooks hooks;
-    hooks.description = [this] { return description_; };
-    hooks.record = [this](const frontend::http::Record& r) { record(r); };
-    hooks.served_here = [this](const config::AccountRef& account) {
+    frontend::http::FrontendCallbacks callbacks;
+    callbacks.description = [this] { return description_; };
+    callbacks.log_access = [this](const frontend::http::AccessLogEntry& entry) {
+        log_access(entry);
+    };
+    callbacks.serves_account = [this](const config::AccountRef& account) {
         const int instances = std::max(1, config_.peers().peer_size());
         return core_->subset_of(account.name).contains(config_.peers().rank(), instances);
     };
@@ -79,8 +81,8 @@
     list.unreachable = [this](const std::string& why) {
         log_.write(log::Level::warning, "hosts_unreachable", {{"why", why}});
     };
-    front_ =
-        std::make_unique<frontend::http::Front>(loop, config, *accounts_, *core_, std::move(hooks));
+    frontend_ = std::make_unique<frontend::http::Frontend>(loop, config, *accounts_, *core_,
+                                                           std::move(callbacks));
     roster_ = std::make_unique<discovery::Roster>(loop, config, folder_, std::move(list));
 }
 Instance::~Instance() {
@@ -88,7 +90,7 @@
     // The front's connections may tell the core of their end; the core may still send: in this
     // order none is missing.
     roster_.reset();
-    front_.reset();
+    frontend_.reset();
     upstream_.reset();
 }
 
@@ -140,12 +142,12 @@
 }
 
 void Instance::drain(Micros most, std::function<void()> done) {
-    front_->stop_listening();
-    log_.write(log::Level::info, "draining", {{"in_hand", whole(front_->in_hand())}});
+    frontend_->start_draining();
+    log_.write(log::Level::info, "draining", {{"in_hand", whole(frontend_->in_flight())}});
     wait_for_drain(loop_.now() + most, std::move(done));
 }
 void Instance::wait_for_drain(Micros until, std::function<void()> done) {
-    if (!front_->owes() || loop_.now() >= until) return done();
+    if (!frontend_->has_unfinished_work() || loop_.now() >= until) return done();
     loop_.after(drain_look, [this, until, done = std::move(done),
                              alive = std::weak_ptr<bool>(alive_)]() mutable {
         if (!alive.expired()) wait_for_drain(until, std::move(done));
@@ -163,7 +165,7 @@
                           {"broken", whole(c.aborted)},
                           {"attempts", whole(c.attempts)},
                           {"held", whole(core_->in_flight())},
-                          {"clients", whole(front_->connections())},
+                          {"clients", whole(frontend_->connections())},
                           {"host_connections", whole(up.open)},
                           {"opened", whole(up.opened)},
                           {"reused", whole(up.reused)}};
@@ -179,21 +181,21 @@
     log_.write(log::Level::info, "peers", fields);
 }
 
-void Instance::record(const frontend::http::Record& r) {
-    const bool ours = r.reason != "served";
+void Instance::log_access(const frontend::http::AccessLogEntry& entry) {
+    const bool ours = entry.reason != "served";
     if (!log_.wants(ours ? log::Level::info : log::Level::debug)) return;
     log_.write(ours ? log::Level::info : log::Level::debug, "request",
-               {{"id", r.request_id},
-                {"reason", r.reason},
-                {"status", static_cast<std::int64_t>(r.status)},
-                {"method", r.method},
-                {"path", r.path},
-                {"account", r.account},
-                {"key", r.key_id},
-                {"class", r.request_class},
-                {"units", r.units},
-                {"took_us", static_cast<std::int64_t>(r.took.count())},
-                {"client", r.client}});
+               {{"id", entry.request_id},
+                {"reason", entry.reason},
+                {"status", static_cast<std::int64_t>(entry.status)},
+                {"method", entry.method},
+                {"path", entry.path},
+                {"account", entry.account},
+                {"key", entry.key_id},
+                {"class", entry.request_class},
+                {"units", entry.units},
+                {"took_us", static_cast<std::int64_t>(entry.duration.count())},
+                {"client", entry.client}});
 }
 
 void Instance::hosts_changed(std::vector<EndpointEntry> hosts) {
@@ -209,7 +211,7 @@
     timers_.start(from_now, timer.token);
 }
 void Instance::send_attempt(const core::AttemptKey& key, const std::string& host, Micros) {
-    auto request = front_->out_request(key.request);
+    auto request = frontend_->upstream_request(key.request);
     if (!request)
         return core_->on_attempt_ended(loop_.now(), key, host, Outcome::not_started, 0us, {});
     upstream_->send(key, host, std::move(request));
@@ -227,32 +229,32 @@
     if (peers_) peers_->send(rank, bytes);
 }
 void Instance::finish_request(RequestId id, const core::FinalResponse& answer) {
-    front_->finish(id, answer);
+    frontend_->finish(id, answer);
 }
 void Instance::abort_response(RequestId id) {
-    front_->cut(id);
+    frontend_->abort(id);
 }
 
 // ---- upstream_http::Events
 // ------------------------------------------------------------------------------------
 
 bool Instance::hand_over(const core::AttemptKey& key) {
-    front_->look_for_client(key.request);
+    frontend_->check_client_connected(key.request);
     return core_->begin_send(event::Loop::clock(), key).has_value();
 }
 bool Instance::answer_begins(const core::AttemptKey& key, const std::string& host, Micros took,
                              const LoadReport& report, http::Head& head) {
     if (!core_->on_response_started(loop_.now(), key, host, took, report)) return false;
-    front_->answer_begins(key.request, host, head,
-                          [this, key](bool pause) { upstream_->read(key, !pause); });
+    frontend_->start_response(key.request, head,
+                              [this, key](bool pause) { upstream_->read(key, !pause); });
     return true;
 }
 void Instance::answer_body(const core::AttemptKey& key, std::string_view bytes) {
-    front_->answer_body(key.request, bytes);
+    frontend_->append_body(key.request, bytes);
 }
 void Instance::answer_ended(const core::AttemptKey& key, bool whole, const http::Fields& trailers) {
     core_->on_response_ended(loop_.now(), key.request, whole);
-    front_->answer_ended(key.request, whole, trailers);
+    frontend_->end_response(key.request, whole, trailers);
 }
 void Instance::attempt_ended(const core::AttemptKey& key, const std::string& host, Outcome outcome,
                              Micros took, const LoadReport& report, int status) {
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -12,7 +12,7 @@
 #include "event/background_task.h"
 #include "event/loop.h"
 #include "event/timer_wheel.h"
-#include "frontend/http/front.h"
+#include "frontend/http/frontend.h"
 #include "log/log.h"
 #include "peers/peers.h"
 #include "registry/book.h"
@@ -27,7 +27,7 @@
     Instance(event::Loop& loop, const config::Config& config, std::string folder, log::Log& log);
     ~Instance();
 
-    int port() const { return front_->port(); }
+    int port() const { return frontend_->port(); }
     // Reads the description again, beside the traffic; a bad one is logged with all its errors and
     // the old one stays. `done`, where given, hears whether it is in force. Asked again meanwhile,
     // it reads once more.
@@ -61,7 +61,7 @@
         std::vector<openapi::Problem>& problems) const;
     bool take_description(std::shared_ptr<const openapi::Description> fresh,
                           const std::vector<openapi::Problem>& problems);
-    void record(const frontend::http::Record& record);
+    void log_access(const frontend::http::AccessLogEntry& entry);
     void hosts_changed(std::vector<EndpointEntry> hosts);
     void wait_for_drain(Micros until, std::function<void()> done);
 
@@ -78,7 +78,7 @@
     std::unique_ptr<core::Core> core_;
     std::unique_ptr<upstream_http::Upstream> upstream_;
     std::unique_ptr<peers::Peers> peers_;
-    std::unique_ptr<frontend::http::Front> front_;
+    std::unique_ptr<frontend::http::Frontend> frontend_;
     std::unique_ptr<discovery::Roster> roster_;
 };
 
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -63,19 +63,20 @@
     platform::TargetList known = config_.known;
     known.whole = true;
     hosts_changed(known);
-    frontend::resp::FrontLimits limits;
+    frontend::resp::FrontendLimits limits;
     const std::size_t clients = sockets - pool.connections;
-    limits.lingering = clients / 8;
-    limits.connections = clients - limits.lingering;
-    limits.kept_bytes = static_cast<std::size_t>(config_.limits.memory_mb) * 1024 * 1024 / 16;
-    front_ = std::make_unique<frontend::resp::Front>(loop, config_.listen, judge_, limits, *core_,
-                                                     [this] { return now(); });
-    front_->on_shortage([this] { return upstream_->give_up_idle() || front_->give_up_idle(); });
-    front_->on_close([this](const frontend::resp::ClientClose& close) {
+    limits.max_lingering = clients / 8;
+    limits.max_connections = clients - limits.max_lingering;
+    limits.max_buffered_bytes =
+        static_cast<std::size_t>(config_.limits.memory_mb) * 1024 * 1024 / 16;
+    frontend_ = std::make_unique<frontend::resp::Frontend>(loop, config_.listen, judge_, limits,
+                                                           *core_, [this] { return now(); });
+    frontend_->on_shortage([this] { return upstream_->give_up_idle() || frontend_->close_idle(); });
+    frontend_->on_close([this](const frontend::resp::ConnectionClose& close) {
         if (!log_.wants(log::Level::debug)) return;
         log_.write(log::Level::debug, "client_closed",
-                   {{"why", std::string(frontend::resp::text_of(close.reason))},
-                    {"in_hand", whole(close.requests_in_hand)},
+                   {{"why", std::string(frontend::resp::to_string(close.reason))},
+                    {"in_hand", whole(close.requests_in_flight)},
                     {"open_us", std::int64_t{close.open_for.count()}}});
     });
     discovery::Watch::Hooks hooks;
@@ -89,7 +90,7 @@
 Node::~Node() {
     alive_.reset();
     watch_.reset();
-    front_.reset();
+    frontend_.reset();
     upstream_.reset();
 }
 
@@ -114,19 +115,18 @@
 
 void Node::drain(Micros still, Micros most, std::function<void()> done) {
     if (std::exchange(draining_, true)) return;
-    log_.write(log::Level::warning, "draining", {{"in_hand", whole(front_->in_hand())}});
+    log_.write(log::Level::warning, "draining", {{"in_hand", whole(frontend_->in_flight())}});
     const Micros end = loop_.now() + most;
     loop_.after(still,
                 [this, end, done = std::move(done), alive = std::weak_ptr<bool>(alive_)]() mutable {
                     if (alive.expired()) return;
-                    front_->stop_listening();
-                    front_->close_when_idle(end);
+                    frontend_->start_draining(end);
                     wait_for_drain(std::move(done));
                 });
 }
 // As long as a request is in hand it goes on, however late: to end by itself would lose it.
 void Node::wait_for_drain(std::function<void()> done) {
-    if (!front_->listening() && front_->stats().connections == 0) return done();
+    if (!frontend_->listening() && frontend_->stats().connections == 0) return done();
     loop_.after(drain_look,
                 [this, done = std::move(done), alive = std::weak_ptr<bool>(alive_)]() mutable {
                     if (!alive.expired()) wait_for_drain(std::move(done));
@@ -138,7 +138,7 @@
     log_.write(log::Level::info, "closes", close_fields());
     const log::Fields rules = rule_fields();
     const auto violated = core_->counters().late_responses + core_->counters().unchecked_attempts +
-                          front_->stats().closed_in_hand;
+                          frontend_->stats().closed_with_requests;
     log_.write(violated > 0 ? log::Level::error : log::Level::info, "rules", rules);
     log_.flush();
 }
@@ -146,7 +146,7 @@
 log::Fields Node::traffic_fields() const {
     const core::Counters& c = core_->counters();
     const auto up = upstream_->stats();
-    const auto f = front_->stats();
+    const auto f = frontend_->stats();
     rusage use{};
     getrusage(RUSAGE_SELF, &use);
     const auto refused = [this](RejectReason r) { return refused_[static_cast<std::size_t>(r)]; };
@@ -175,10 +175,10 @@
             {"held", whole(core_->in_flight())},
             {"clients", whole(f.connections)},
             {"accepted", whole(f.accepted)},
-            {"nonsense", whole(f.nonsense)},
-            {"broken", whole(f.broken)},
+            {"nonsense", whole(f.invalid_commands)},
+            {"broken", whole(f.protocol_errors)},
             {"silent", whole(f.silent)},
-            {"turned_away", whole(f.turned_away)},
+            {"turned_away", whole(f.rejected)},
             {"hosts", whole(up.hosts)},
             {"host_connections", whole(up.open)},
             {"opened", whole(up.opened)},
@@ -197,10 +197,10 @@
 
 // Client connections that ended, by reason.
 log::Fields Node::close_fields() const {
-    const auto closes = front_->stats().closes;
+    const auto closes = frontend_->stats().closes;
     log::Fields fields;
     for (std::size_t i = 0; i < closes.size(); ++i)
-        fields.emplace_back(frontend::resp::text_of(static_cast<frontend::resp::CloseReason>(i)),
+        fields.emplace_back(frontend::resp::to_string(static_cast<frontend::resp::CloseReason>(i)),
                             whole(closes[i]));
     return fields;
 }
@@ -217,7 +217,7 @@
     }
     fields.emplace_back("late_answers", whole(c.late_responses));
     fields.emplace_back("unchecked_attempts", whole(c.unchecked_attempts));
-    fields.emplace_back("closed_in_hand", whole(front_->stats().closed_in_hand));
+    fields.emplace_back("closed_in_hand", whole(frontend_->stats().closed_with_requests));
     return fields;
 }
 
@@ -245,7 +245,7 @@
     timers_.start(from_now, timer.token);
 }
 void Node::send_attempt(const core::AttemptKey& key, const std::string& host, Micros) {
-    auto command = front_->out_command(key.request);
+    auto command = frontend_->upstream_command(key.request);
     if (!command) {
         upstream_resp::Answer moot;
         moot.outcome = Outcome::not_started;
@@ -253,7 +253,7 @@
     }
     if (log_.wants(log::Level::debug))
         trace("attempt", key.request,
-              {{"client_id", fmt::format("{:016x}", front_->client_id(key.request))},
+              {{"client_id", fmt::format("{:016x}", frontend_->client_id(key.request))},
                {"attempt", std::int64_t{key.attempt}},
                {"host", host}});
     upstream_->send(key, host, std::move(command));
@@ -275,11 +275,11 @@
     if (log_.wants(log::Level::debug))
         trace(
             answer.rejected ? "refused" : "failed", id,
-            {{"client_id", fmt::format("{:016x}", front_->client_id(id))},
+            {{"client_id", fmt::format("{:016x}", frontend_->client_id(id))},
              {"why", answer.rejected ? refuse_texts[static_cast<std::size_t>(answer.reject_reason)]
                                      : fail_texts[static_cast<std::size_t>(answer.failure_reason)]},
              {"retry_after_us", std::int64_t{answer.retry_after.count()}}});
-    front_->finish(id, answer);
+    frontend_->finish(id, answer);
 }
 void Node::abort_response(RequestId) {}  // an answer is taken whole or not at all
 
@@ -295,7 +295,7 @@
 // -------------------------------------------------------------------------------
 
 std::optional<Micros> Node::hand_over(const core::AttemptKey& key) {
-    front_->look_for_client(key.request);
+    frontend_->check_client_connected(key.request);
     // Read afresh: the turn may have taken long since it began.
     return core_->begin_send(event::Loop::clock() + offset_, key);
 }
@@ -312,7 +312,7 @@
         return core_->on_attempt_ended(now(), key, host, answer.outcome, took, answer.report);
     if (core_->on_response_started(now(), key, host, took, answer.report, answer.true_units)) {
         trace("served", key.request, {{"attempt", std::int64_t{key.attempt}}, {"host", host}});
-        front_->answer(key.request, answer.value);
+        frontend_->respond(key.request, answer.value);
         core_->on_response_ended(now(), key.request, true);
     }
 }
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -11,7 +11,7 @@
 #include "discovery/watch.h"
 #include "event/loop.h"
 #include "event/timer_wheel.h"
-#include "frontend/resp/front.h"
+#include "frontend/resp/frontend.h"
 #include "log/log.h"
 #include "peers/plain.h"
 #include "platform/config.h"
@@ -25,7 +25,7 @@
     Node(event::Loop& loop, platform::NodeConfig config, log::Log& log);
     ~Node();
 
-    int port() const { return front_->port(); }
+    int port() const { return frontend_->port(); }
     // A new configuration: its discovery is followed from now on. What else differs waits for a
     // restart.
     void reload(const platform::NodeConfig& fresh);
@@ -74,7 +74,7 @@
     std::unique_ptr<core::Core> core_;
     std::unique_ptr<upstream_resp::Upstream> upstream_;
     std::unique_ptr<peers::PlainPeers> peers_;
-    std::unique_ptr<frontend::resp::Front> front_;
+    std::unique_ptr<frontend::resp::Frontend> frontend_;
     std::unique_ptr<discovery::Watch> watch_;
     bool draining_ = false;
     std::array<std::uint64_t, 7> refused_{};  // by RefuseReason
--- /dev/null
+++ b/src/frontend/common/client_connection.cpp
@@ -0,0 +1,44 @@
+#include "frontend/common/client_connection.h"
+
+#include <array>
+#include <utility>
+
+#include "frontend/common/connection_manager.h"
+
+namespace silverreach::frontend {
+
+ClientConnection::ClientConnection(ConnectionManager& manager, event::Fd fd, Micros waiting_since)
+    : wait_started_(manager.loop().now()),
+      manager_(manager),
+      loop_(manager.loop()),
+      stream_(loop_, std::move(fd), *this, waiting_since) {}
+
+void ClientConnection::check_timeouts() {
+    constexpr std::array<Wait, 6> order{Wait::client_end, Wait::first_message, Wait::idle,
+                                        Wait::drain,      Wait::message_rest,  Wait::response_read};
+    if (stream_.closed()) return;
+    const Micros now = loop_.now();
+    for (const Wait wait : order) {
+        const auto pending = pending_wait(wait);
+        if (pending && now - pending->since >= pending->limit && on_wait_expired(wait)) return;
+    }
+}
+
+void ClientConnection::call_later(Micros delay, std::function<void()> callback) {
+    loop_.after(delay, [callback = std::move(callback), alive = std::weak_ptr<bool>(alive_)] {
+        if (!alive.expired()) callback();
+    });
+}
+
+void ClientConnection::start_lingering_close() {
+    lingering_ = true;
+    stream_.end();
+    stream_.read(true);
+    manager_.on_lingering(*this);
+}
+
+void ClientConnection::schedule_deletion() {
+    manager_.remove(*this);
+}
+
+}  // namespace silverreach::frontend
--- /dev/null
+++ b/src/frontend/common/connection_manager.cpp
@@ -0,0 +1,101 @@
+#include "frontend/common/connection_manager.h"
+
+#include <utility>
+
+namespace silverreach::frontend {
+
+ConnectionManager::ConnectionManager(event::Loop& loop, const config::Endpoint& listen,
+                                     const ConnectionPolicy& policy, Factory factory)
+    : loop_(loop), policy_(policy), factory_(std::move(factory)), deferred_deletion_(loop) {
+    listener_ = std::make_unique<event::Listener>(
+        loop, listen.ip, listen.port, listen.v6, [this] { return ensure_capacity(); },
+        [this](event::Fd fd, std::string client) { accept(std::move(fd), std::move(client)); });
+    if (policy_.sweep_period > Micros(0)) sweep();
+}
+
+bool ConnectionManager::ensure_capacity() {
+    const std::size_t counted = connections_.size() - (policy_.max_lingering ? lingering_ : 0);
+    if (counted < policy_.max_connections) return true;
+    ClientConnection* candidate = policy_.evict_idle ? eviction_candidate() : nullptr;
+    if (!candidate) {
+        ++stats_.rejected;
+        return false;
+    }
+    ++stats_.evicted;
+    candidate->evict();
+    return true;
+}
+
+// One that has sent no complete message before an idle one, the longest waiting first.
+ClientConnection* ConnectionManager::eviction_candidate() const {
+    using Priority = ClientConnection::EvictionPriority;
+    ClientConnection* best = nullptr;
+    Priority best_priority = Priority::none;
+    for (const auto& connection : connections_) {
+        const Priority priority = connection->eviction_priority();
+        if (connection->lingering() || priority == Priority::none) continue;
+        const bool better =
+            !best || priority > best_priority ||
+            (priority == best_priority && connection->wait_started() < best->wait_started());
+        if (!better) continue;
+        if (priority == Priority::idle && !connection->at_rest()) continue;
+        best = connection.get();
+        best_priority = priority;
+    }
+    return best;
+}
+
+bool ConnectionManager::close_idle() {
+    if (lingering_ > 0) return true;
+    ClientConnection* candidate = eviction_candidate();
+    if (candidate) candidate->evict();
+    return candidate != nullptr;
+}
+
+void ConnectionManager::accept(event::Fd fd, std::string client) {
+    ++stats_.accepted;
+    connections_.push_back(factory_(std::move(fd), std::move(client), listener_->waiting_since()));
+    connections_.back()->slot_ = connections_.size() - 1;
+}
+
+void ConnectionManager::on_lingering(ClientConnection& connection) {
+    ++lingering_;
+    if (!policy_.max_lingering || lingering_ <= *policy_.max_lingering) return;
+    ClientConnection* longest = nullptr;
+    for (const auto& other : connections_) {
+        if (!other->lingering() || other.get() == &connection) continue;
+        if (!longest || other->wait_started() < longest->wait_started()) longest = other.get();
+    }
+    (longest ? *longest : connection).abort_lingering();
+}
+
+void ConnectionManager::remove(ClientConnection& connection) {
+    const std::size_t slot = connection.slot_;
+    if (connection.lingering()) --lingering_;
+    deferred_deletion_.schedule(std::move(connections_[slot]));
+    if (slot + 1 != connections_.size()) {
+        connections_[slot] = std::move(connections_.back());
+        connections_[slot]->slot_ = slot;
+    }
+    connections_.pop_back();
+}
+
+void ConnectionManager::start_draining(Micros deadline) {
+    listener_->stop();
+    drain_.start(deadline);
+}
+
+// A check may remove its connection and, by a close that frees others, more than one.
+void ConnectionManager::check_timeouts() {
+    for (std::size_t i = connections_.size(); i-- > 0;)
+        if (i < connections_.size()) connections_[i]->check_timeouts();
+}
+
+void ConnectionManager::sweep() {
+    check_timeouts();
+    loop_.after(policy_.sweep_period, [this, alive = std::weak_ptr<bool>(alive_)] {
+        if (!alive.expired()) sweep();
+    });
+}
+
+}  // namespace silverreach::frontend
--- /dev/null
+++ b/src/frontend/http/frontend_context.h
@@ -0,0 +1,66 @@
+// What the connections of one HTTP front end share.
+#pragma once
+
+#include <ctime>
+#include <functional>
+#include <memory>
+#include <string>
+#include <unordered_map>
+
+#include "config/config.h"
+#include "core/core.h"
+#include "event/system_random.h"
+#include "frontend/http/request_resolver.h"
+#include "openapi/description.h"
+
+namespace silverreach::frontend::http {
+
+// One request for the access log.
+struct AccessLogEntry {
+    std::string request_id;
+    std::string method;
+    std::string path;  // without the query, which may carry a key
+    std::string account;
+    std::string key_id;
+    std::string request_class;
+    std::string reason;  // "served", "left", "broken", "cut", or why it was not forwarded
+    std::string client;  // address
+    double units = 0;
+    int status = 0;  // 0: none was sent
+    Micros duration{0};
+};
+
+struct FrontendCallbacks {
+    // The description in force.
+    std::function<std::shared_ptr<const openapi::Description>()> description;
+    std::function<void(const AccessLogEntry&)> log_access;
+    // Whether this instance is one of those that serve the account.
+    std::function<bool(const config::AccountRef&)> serves_account;
+};
+
+class HttpConnection;
+
+// Text of the Date field, made once a second.
+class DateCache {
+  public:
+    const std::string& now();
+
+  private:
+    std::string text_;
+    std::time_t second_ = 0;
+};
+
+// Owned by the Frontend; outlives the connections.
+struct FrontendContext {
+    const config::Config& config;
+    core::Core& core;
+    FrontendCallbacks callbacks;
+    int anonymous_plan;  // index into Settings::plans; below 0: none
+    std::string via;     // this instance's name in the Via field
+    RequestResolver resolver;
+    event::SystemRandom random = {};  // of request and trace ids
+    DateCache date = {};
+    std::unordered_map<RequestId, HttpConnection*> in_flight = {};
+};
+
+}  // namespace silverreach::frontend::http
--- /dev/null
+++ b/src/frontend/http/http_connection.h
@@ -0,0 +1,124 @@
+// One HTTP client's connection: one request after another, answered in their order.
+//
+// States:   reading_head -> reading_body -> awaiting_response -> streaming_response -> reading_head
+//           after a response that ends the connection:   -> lingering -> closed
+//           once the client has gone:                    -> abandoned -> closed
+#pragma once
+
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "frontend/common/client_connection.h"
+#include "frontend/http/frontend_context.h"
+#include "frontend/http/local_reply.h"
+#include "frontend/http/message_translation.h"
+#include "frontend/http/response_writer.h"
+#include "http/parser.h"
+#include "upstream/http/upstream.h"
+
+namespace silverreach::frontend::http {
+
+class HttpConnection final : public ClientConnection, private wire::Parser::Events {
+  public:
+    // `context` must outlive the connection; `client`: its address.
+    HttpConnection(FrontendContext& context, ConnectionManager& manager, event::Fd fd,
+                   std::string client, Micros waiting_since);
+
+    // ---- of the request in flight; see Frontend. Ignored in other states. ----
+    std::shared_ptr<const upstream_http::OutRequest> upstream_request() const;
+    void check_client_connected();
+    void finish(const core::FinalResponse& response);
+    void start_response(wire::Head& head, ResponseWriter::PauseHost pause_host);
+    void append_body(std::string_view bytes);
+    void end_response(const wire::Fields& trailers);
+    // Breaks off the response with the connection, so that the client cannot take it for complete.
+    // `reason`: for the access log.
+    void abort_response(std::string_view reason);
+
+    // A response that is owed, its last bytes, or input that was not read.
+    bool has_unfinished_work() const;
+
+    void on_data(std::string_view bytes) override;
+    void on_end() override;
+    void on_broken(int error) override;
+    void on_drained() override;
+
+  private:
+    enum class State {
+        reading_head,  // or between requests
+        reading_body,
+        awaiting_response,
+        streaming_response,
+        lingering,  // the last response is written; what still comes is dropped
+        abandoned,  // the client has gone, its request is being cancelled
+        closed
+    };
+    struct Request {
+        std::shared_ptr<const openapi::Description> description;  // resolved points into it
+        wire::Head head;
+        ResolvedRequest resolved;
+        RequestIdentity identity;
+        std::string body;
+        bool body_complete = false;
+        Micros received_at{0};  // its first byte
+        RequestId id = 0;       // of the core; 0: not handed over yet
+        std::shared_ptr<upstream_http::OutRequest> upstream;
+        ClientCapabilities client;
+        ResponseWriter response;
+        int response_status = 0;
+    };
+    // Why a request is not handed to the core.
+    struct Refusal {
+        RequestError error;
+        std::string_view log_reason;
+    };
+
+    std::optional<PendingWait> pending_wait(Wait wait) const override;
+    bool on_wait_expired(Wait wait) override;
+    void check_timeouts_periodically();
+
+    // ---- wire::Parser::Events ----
+    bool on_head(wire::Head& head) override;
+    void on_body(std::string_view bytes) override;
+    void on_message_end(wire::Fields& trailers) override;
+    void on_fault(const wire::Fault& fault) override;
+
+    // ---- requests ----
+    bool reading() const { return state_ == State::reading_head || state_ == State::reading_body; }
+    bool receiving() const;  // a request has begun and is not complete
+    bool accepts_input() const { return state_ != State::lingering && state_ != State::closed; }
+    std::size_t feed_parser(std::string_view bytes);
+    void process_pending();
+    void begin_request(wire::Head& head);
+    std::optional<Refusal> check_request();
+    std::optional<Refusal> check_expectation();
+    RequestError body_too_large() const;
+    std::size_t max_body_bytes() const;
+    void forward_if_complete();
+    void forward_request();
+
+    // ---- responses and the end ----
+    void reply_locally(const LocalReply& reply, std::string_view log_reason);
+    bool is_last_response() const;
+    void finish_exchange();  // -> reading_head or lingering
+    void linger();           // -> lingering
+    void abandon_request();  // -> abandoned, where a request is in flight
+    void disconnect();       // -> abandoned -> closed
+    void close();            // -> closed
+    void log_access(int status, std::string_view reason);
+
+    FrontendContext& context_;
+    wire::Parser parser_;
+    std::string client_;
+    State state_ = State::reading_head;
+    std::string pending_;       // bytes of later requests
+    Micros last_progress_{0};   // the client last read something
+    bool half_closed_ = false;  // by the client
+    // On the heap, so that an idle connection stays small.
+    std::unique_ptr<Request> request_;
+};
+
+}  // namespace silverreach::frontend::http
--- /dev/null
+++ b/src/frontend/http/request_resolver.h
@@ -0,0 +1,62 @@
+// Resolves a request's head under a description: route, account, units and deadline. No I/O.
+#pragma once
+
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "config/config.h"
+#include "frontend/http/request_parameters.h"
+#include "http/parser.h"
+#include "openapi/description.h"
+
+namespace silverreach::frontend::http {
+
+// Why the gateway answers a request itself, as the client gets it.
+struct RequestError {
+    int status = 400;
+    std::string title;
+    std::string detail;
+    std::vector<openapi::Method> allowed_methods = {};  // of a 405
+    bool needs_key = false;                             // of a 401: WWW-Authenticate is added
+};
+
+struct ResolvedRequest {
+    const openapi::Route* route = nullptr;
+    std::optional<config::AccountRef> account;  // none: anonymous
+    int request_class = -1;                     // index into Settings::classes
+    double units = 1;
+    Micros deadline{0};  // from the request's begin; of the class, shortened by the request
+    std::string path;    // as it goes to hosts, with the query
+};
+
+// The account of requests that carry no key, where the description allows that: by the client's
+// address, so that strangers do not share one quota.
+std::string anonymous_account(std::string_view client_address);
+
+// Configuration and accounts must outlive it.
+class RequestResolver {
+  public:
+    RequestResolver(const config::Config& config, config::AccountBook& accounts)
+        : config_(config), accounts_(accounts) {}
+    // Fills `into`, or returns what is wrong with the request; `into` then holds what was resolved
+    // before the error. `description` must outlive it.
+    std::optional<RequestError> resolve(const wire::Head& head,
+                                        const openapi::Description& description,
+                                        ResolvedRequest& into) const;
+
+  private:
+    std::optional<RequestError> resolve_class(const wire::Head& head, ResolvedRequest& into) const;
+    std::optional<RequestError> resolve_account(const wire::Head& head, std::string_view query,
+                                                ResolvedRequest& into) const;
+    std::optional<RequestError> resolve_units(const wire::Head& head, std::string_view query,
+                                              const openapi::RouteTable::Found& found,
+                                              ResolvedRequest& into) const;
+    std::optional<RequestError> resolve_deadline(const wire::Head& head,
+                                                 ResolvedRequest& into) const;
+
+    const config::Config& config_;
+    config::AccountBook& accounts_;
+};
+
+}  // namespace silverreach::frontend::http
--- /dev/null
+++ b/src/frontend/resp/buffer_budget.h
@@ -0,0 +1,22 @@
+// Memory for commands that are not complete yet, over all connections.
+#pragma once
+
+#include <cstddef>
+
+namespace silverreach::frontend::resp {
+
+class BufferBudget {
+  public:
+    explicit BufferBudget(std::size_t max_bytes) : max_bytes_(max_bytes) {}
+    // A connection that buffered `before` bytes now buffers `after`.
+    void update(std::size_t before, std::size_t after) {
+        used_bytes_ = used_bytes_ - before + after;
+    }
+    bool exceeded() const { return used_bytes_ > max_bytes_; }
+
+  private:
+    std::size_t max_bytes_;
+    std::size_t used_bytes_ = 0;
+};
+
+}  // namespace silverreach::frontend::resp
--- /dev/null
+++ b/src/frontend/resp/frontend_context.h
@@ -0,0 +1,36 @@
+// What the connections of one RESP front end share.
+#pragma once
+
+#include <array>
+#include <cstdint>
+#include <functional>
+
+#include "core/core.h"
+#include "frontend/resp/buffer_budget.h"
+#include "frontend/resp/connection_close.h"
+#include "frontend/resp/request_table.h"
+#include "platform/request.h"
+
+namespace silverreach::frontend::resp {
+
+struct FrontendCounters {
+    std::uint64_t invalid_commands = 0;
+    std::uint64_t protocol_errors = 0;  // broken or unfinished commands
+    std::uint64_t silent = 0;           // closed without a complete command, or evicted
+    // Violations of a rule: closed by this instance with requests in flight.
+    std::uint64_t closed_with_requests = 0;
+    std::array<std::uint64_t, close_reason_count> closes{};  // by CloseReason
+};
+
+// Owned by the Frontend; outlives the connections.
+struct FrontendContext {
+    const platform::Judge& judge;
+    core::Core& core;
+    std::function<Micros()> clock;  // the core's time
+    BufferBudget buffer_budget;
+    RequestTable requests = {};
+    FrontendCounters counters = {};
+    std::function<void(const ConnectionClose&)> on_close = {};  // may be empty
+};
+
+}  // namespace silverreach::frontend::resp
--- /dev/null
+++ b/src/frontend/resp/request_table.h
@@ -0,0 +1,41 @@
+// The requests in flight of all connections.
+#pragma once
+
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <unordered_map>
+
+#include "event/loop.h"
+#include "platform/request.h"
+#include "silverreach/interface.h"
+
+namespace silverreach::frontend::resp {
+
+class RespConnection;
+
+struct RequestInFlight {
+    RespConnection* connection = nullptr;  // stays valid while the request is in the table
+    std::uint64_t response_number = 0;     // in the connection's ResponseQueue
+    std::uint64_t client_id = 0;           // as the client named the request
+    event::Micros received_at{0};          // on the loop's clock
+    std::shared_ptr<const platform::OutCommand> command;
+};
+
+// Finds requests by their id and by the id that the client gave.
+class RequestTable {
+  public:
+    void add(RequestId id, RequestInFlight request);
+    // nullptr: not in flight.
+    const RequestInFlight* find(RequestId id) const;
+    bool has_client_id(std::uint64_t client_id) const;
+    // Removes the request; nothing where it is not in flight.
+    std::optional<RequestInFlight> take(RequestId id);
+    std::size_t size() const { return requests_.size(); }
+
+  private:
+    std::unordered_map<RequestId, RequestInFlight> requests_;
+    std::unordered_map<std::uint64_t, RequestId> by_client_id_;
+};
+
+}  // namespace silverreach::frontend::resp
--- /dev/null
+++ b/src/frontend/resp/resp_connection.cpp
@@ -0,0 +1,353 @@
+#include "frontend/resp/resp_connection.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "frontend/common/connection_manager.h"
+
+namespace silverreach::frontend::resp {
+namespace {
+using namespace std::chrono_literals;
+namespace wire = silverreach::resp;
+constexpr Micros first_command_timeout = 2s;
+constexpr Micros command_timeout = 2s;  // from a command's first byte
+constexpr Micros idle_timeout = 8s;
+constexpr Micros unread_timeout = 5s;
+constexpr Micros linger_timeout = 300ms;
+constexpr Micros response_margin = 5ms;  // of the client's time, for the way back and this loop
+constexpr std::size_t max_responses = 64;
+constexpr std::size_t max_commands_per_turn = 64;
+constexpr std::size_t max_unread_bytes = std::size_t{256} * 1024;
+constexpr std::size_t max_discarded_bytes = std::size_t{256} * 1024;
+constexpr std::size_t max_read_ahead_bytes = std::size_t{32} * 1024;
+constexpr std::size_t unbudgeted_bytes = 4096;     // a connection may always buffer so much
+constexpr std::size_t idle_input_capacity = 4096;  // bytes that an empty buffer keeps
+}  // namespace
+
+RespConnection::RespConnection(FrontendContext& context, ConnectionManager& manager, event::Fd fd,
+                               Micros waiting_since)
+    : ClientConnection(manager, std::move(fd), waiting_since),
+      context_(context),
+      opened_at_(loop().now()) {}
+
+// ---- commands -------------------------------------------------------------------------------
+
+void RespConnection::account_input(std::size_t before) {
+    context_.buffer_budget.update(before, input_.size());
+}
+
+bool RespConnection::discard(std::size_t bytes) {
+    discarded_bytes_ += bytes;
+    return discarded_bytes_ <= max_discarded_bytes;
+}
+
+void RespConnection::on_data(std::string_view bytes) {
+    if (state_ == State::closed) return;
+    if (state_ == State::lingering) {
+        if (!discard(bytes.size())) close(CloseReason::linger_flood);
+        return;
+    }
+    // The client's end may have arrived with the bytes: nobody waits for a response.
+    if (peer_closed()) return close(CloseReason::client_ended);
+    wait_started_ = loop().now();
+    if (state_ == State::failing) {
+        if (!discard(bytes.size())) stream().read(false);
+        return;
+    }
+    const std::size_t before = input_.size();
+    input_.append(bytes);
+    account_input(before);
+    arrivals_.add(bytes.size(), stream().arrived());
+    read_commands();
+}
+
+// The client of commands that waited here may have gone since, its end behind bytes that were not
+// read.
+void RespConnection::resume() {
+    if (!reading_commands_ && state_ != State::closed && peer_closed())
+        return close(CloseReason::client_ended);
+    read_commands();
+}
+
+void RespConnection::read_commands() {
+    if (reading_commands_ || state_ != State::open) return;
+    reading_commands_ = true;
+    const std::size_t before = input_.size();
+    std::size_t consumed = 0;
+    const ReadResult result = read_batch(consumed);
+    reading_commands_ = false;
+    if (state_ == State::closed) return;
+    consume_input(consumed);
+    account_input(before);
+    flush();
+    if (state_ == State::closed) return;
+    // What stopped it may have been sent with the flush, and nothing else would resume it.
+    const bool resume_later =
+        result == ReadResult::turn_used || (result == ReadResult::no_capacity && !must_wait());
+    const bool incomplete = !resume_later && !must_wait();
+    if (incomplete && context_.buffer_budget.exceeded() && input_.size() > unbudgeted_bytes)
+        return fail("too much in hand");
+    update_reading();
+    if (resume_later) call_later(0us, [this] { resume(); });
+}
+
+// Handles the complete commands, as long as there is capacity for their responses.
+RespConnection::ReadResult RespConnection::read_batch(std::size_t& consumed) {
+    std::string_view rest = input_;
+    for (std::size_t n = 0; state_ == State::open && !rest.empty(); ++n) {
+        if (must_wait()) return ReadResult::no_capacity;
+        if (n == max_commands_per_turn) return ReadResult::turn_used;
+        const wire::Got got = reader_.look(rest);
+        if (got == wire::Got::more) break;
+        if (got == wire::Got::broken) {
+            ++context_.counters.protocol_errors;
+            fail(reader_.why());
+            break;
+        }
+        ++commands_;
+        std::vector<std::string_view> words;
+        for (std::size_t i = 0; i < reader_.words(); ++i)
+            words.push_back(reader_.word(rest, i));
+        consumed += reader_.size();
+        const Micros now = loop().now();
+        handle_command(words, now - arrivals_.time_of(consumed, now));
+        rest = std::string_view(input_).substr(consumed);
+        reader_.next();
+    }
+    return ReadResult::incomplete;
+}
+
+void RespConnection::consume_input(std::size_t consumed) {
+    input_.erase(0, consumed);
+    arrivals_.consume(consumed);
+    // After a broken frame nothing is a command any more.
+    if (state_ != State::open) input_.clear();
+    if (input_.empty()) arrivals_.consume_all();
+    if (input_.empty() && input_.capacity() > idle_input_capacity) input_.shrink_to_fit();
+    if (input_.empty())
+        incomplete_since_ = 0us;
+    else if (consumed > 0 || incomplete_since_ == 0us)
+        incomplete_since_ = loop().now();
+}
+
+bool RespConnection::must_wait() const {
+    return throttled_ || responses_.size() >= max_responses ||
+           stream().queued() >= max_unread_bytes;
+}
+
+// Reads somewhat ahead of the capacity for responses, so that the client's end is seen behind
+// commands that wait; not where all connections together buffer too much.
+void RespConnection::update_reading() {
+    std::size_t max_buffered = wire::Limits{}.total;
+    if (must_wait()) max_buffered = context_.buffer_budget.exceeded() ? 0 : max_read_ahead_bytes;
+    stream().read(input_.size() <= max_buffered);
+}
+
+void RespConnection::handle_command(const std::vector<std::string_view>& words, Micros waited) {
+    const std::string_view command = words.front();
+    if (platform::Judge::is_request(command)) return start_request(words, waited);
+    if (command == "PING" && words.size() == 1) return responses_.add_ready("+PONG\r\n");
+    if (command == "PING" && words.size() == 2) {
+        std::string response;
+        wire::append_bulk(response, words[1]);
+        return responses_.add_ready(std::move(response));
+    }
+    if (command == "CLIENT" || command == "SELECT") return responses_.add_ready("+OK\r\n");
+    reject_command("unknown command");
+}
+
+// `waited`: the time since the command's last byte arrived.
+void RespConnection::start_request(const std::vector<std::string_view>& words, Micros waited) {
+    platform::Request request = context_.judge.judge(words);
+    if (!request.error.empty()) return reject_command(request.error);
+    if (context_.requests.has_client_id(request.id))
+        return reject_command("id: a request of that name is open");
+    const Micros drain_remaining = manager().drain().time_remaining(loop().now());
+    Micros& time_remaining = request.attempt.time_remaining;
+    time_remaining = std::min(time_remaining - waited, drain_remaining) - response_margin;
+    if (time_remaining <= 0us) return responses_.add_ready("-BUSY\r\n");
+    throttle_.on_valid();
+    const RequestId id = context_.core.next_id();
+    const std::uint64_t number = responses_.add_pending(id);
+    context_.requests.add(id,
+                          {this, number, request.id, loop().now(),
+                           std::make_shared<const platform::OutCommand>(std::move(request.out))});
+    context_.core.start_request(context_.clock(), id, request.attempt);
+}
+
+void RespConnection::reject_command(std::string_view why) {
+    ++context_.counters.invalid_commands;
+    const Micros pause = throttle_.on_invalid();
+    if (pause > 0us && !throttled_) {
+        throttled_ = true;
+        call_later(pause, [this] {
+            throttled_ = false;
+            resume();
+        });
+    }
+    responses_.add_ready("-ERR " + std::string(why) + "\r\n");
+}
+
+// ---- responses ------------------------------------------------------------------------------
+
+void RespConnection::on_response(std::uint64_t number, std::string response) {
+    if (state_ == State::closed || !responses_.complete(number, std::move(response))) return;
+    if (reading_commands_) return;
+    flush();
+    if (state_ == State::closed) return;
+    if (!input_.empty())
+        resume();
+    else
+        update_reading();
+}
+
+void RespConnection::flush() {
+    const std::string out = responses_.take_ready();
+    if (!out.empty()) {
+        wait_started_ = loop().now();
+        stream().write(out);
+    }
+    if (stream().queued() == 0)
+        unread_since_ = 0us;
+    else if (unread_since_ == 0us)
+        unread_since_ = loop().now();
+    if (drained()) linger(end_reason());
+}
+
+void RespConnection::on_drained() {
+    unread_since_ = 0us;
+    if (drained()) return linger(end_reason());
+    if (!input_.empty())
+        resume();
+    else
+        update_reading();
+}
+
+// ---- time-outs ------------------------------------------------------------------------------
+
+std::optional<ClientConnection::PendingWait> RespConnection::pending_wait(Wait wait) const {
+    if ((state_ == State::lingering) != (wait == Wait::client_end)) return std::nullopt;
+    switch (wait) {
+        case Wait::client_end:
+            return PendingWait{wait_started_, linger_timeout};
+        case Wait::first_message:
+            if (!responses_.empty() || commands_ > 0) return std::nullopt;
+            return PendingWait{wait_started_, first_command_timeout};
+        case Wait::idle:
+            if (!responses_.empty() || commands_ == 0) return std::nullopt;
+            return PendingWait{wait_started_, idle_timeout};
+        case Wait::drain:
+            if (!drained()) return std::nullopt;
+            return PendingWait{loop().now(), 0us};
+        case Wait::message_rest: {
+            // Not while complete commands wait for their turn.
+            const bool may_read =
+                state_ == State::open && !throttled_ && responses_.size() < max_responses;
+            if (input_.empty() || !may_read || incomplete_since_ == 0us) return std::nullopt;
+            return PendingWait{incomplete_since_, command_timeout};
+        }
+        case Wait::response_read:
+            if (unread_since_ == 0us) return std::nullopt;
+            return PendingWait{unread_since_, unread_timeout};
+    }
+    return std::nullopt;
+}
+
+bool RespConnection::on_wait_expired(Wait wait) {
+    switch (wait) {
+        case Wait::client_end:
+            close(CloseReason::linger_over);
+            return true;
+        case Wait::first_message:
+            ++context_.counters.silent;
+            linger(CloseReason::no_command);
+            return true;
+        case Wait::idle:
+            if (!at_rest()) return false;
+            linger(CloseReason::idle);
+            return true;
+        case Wait::drain:
+            linger(end_reason());
+            return true;
+        case Wait::message_rest:
+            ++context_.counters.protocol_errors;
+            fail("a command not finished in time");
+            return true;
+        case Wait::response_read:
+            close(CloseReason::answers_unread);
+            return true;
+    }
+    return false;
+}
+
+// ---- the end --------------------------------------------------------------------------------
+
+bool RespConnection::idle() const {
+    return responses_.empty() && input_.empty() && stream().queued() == 0;
+}
+
+bool RespConnection::at_rest() const {
+    return idle() && !stream().unread();
+}
+
+ClientConnection::EvictionPriority RespConnection::eviction_priority() const {
+    if (commands_ == 0 && responses_.empty()) return EvictionPriority::no_message;
+    return idle() ? EvictionPriority::idle : EvictionPriority::none;
+}
+
+// Nothing is owed to the client, and the connection is to end.
+bool RespConnection::drained() const {
+    if (state_ == State::lingering) return false;
+    if (!responses_.empty() || stream().queued() > 0) return false;
+    if (state_ == State::failing) return true;
+    const DrainManager& drain = manager().drain();
+    return drain.draining() && (at_rest() || drain.time_remaining(loop().now()) <= 0us);
+}
+
+CloseReason RespConnection::end_reason() const {
+    return state_ == State::failing ? CloseReason::protocol_error : CloseReason::draining;
+}
+
+void RespConnection::fail(std::string_view why) {
+    // The responses to what came before it are sent first.
+    responses_.add_ready("-ERR Protocol error: " + std::string(why) + "\r\n");
+    state_ = State::failing;
+    flush();
+}
+
+void RespConnection::linger(CloseReason reason) {
+    if (state_ == State::closed || state_ == State::lingering) return;
+    state_ = State::lingering;
+    report_close(reason);
+    wait_started_ = loop().now();
+    unread_since_ = 0us;
+    const std::size_t before = input_.size();
+    input_.clear();
+    account_input(before);
+    start_lingering_close();
+}
+
+void RespConnection::close(CloseReason reason) {
+    if (state_ == State::closed) return;
+    state_ = State::closed;
+    report_close(reason);
+    stream().close();
+    context_.buffer_budget.update(input_.size(), 0);
+    const std::vector<RequestId> abandoned = responses_.pending();
+    for (const RequestId id : abandoned)
+        context_.requests.take(id);
+    schedule_deletion();
+    for (const RequestId id : abandoned)
+        context_.core.on_client_disconnected(context_.clock(), id);
+}
+
+void RespConnection::report_close(CloseReason reason) {
+    const ConnectionClose close{reason, responses_.pending().size(), loop().now() - opened_at_};
+    ++context_.counters.closes[static_cast<std::size_t>(reason)];
+    const bool by_client = reason == CloseReason::client_ended;
+    if (rules::AttemptRules::check_close({close.requests_in_flight, by_client}))
+        ++context_.counters.closed_with_requests;
+    if (context_.on_close) context_.on_close(close);
+}
+
+}  // namespace silverreach::frontend::resp
--- /dev/null
+++ b/src/frontend/resp/response_queue.h
@@ -0,0 +1,38 @@
+// The responses of one connection, which are sent in the order of its commands.
+#pragma once
+
+#include <cstdint>
+#include <deque>
+#include <string>
+#include <vector>
+
+#include "silverreach/interface.h"
+
+namespace silverreach::frontend::resp {
+
+// Each command has an entry, pending or ready, until its response is taken. Entries are named by
+// their command's number among those of the connection, from 0.
+class ResponseQueue {
+  public:
+    // Adds an entry for a request that is in flight and returns its number.
+    std::uint64_t add_pending(RequestId request);
+    void add_ready(std::string response);
+    // Sets the response of a pending entry. An unknown number is ignored and returns false.
+    bool complete(std::uint64_t number, std::string response);
+    // Removes the ready entries in front and returns their responses as one.
+    std::string take_ready();
+
+    bool empty() const { return entries_.empty(); }
+    std::size_t size() const { return entries_.size(); }
+    std::vector<RequestId> pending() const;
+
+  private:
+    struct Entry {
+        RequestId request = 0;  // in flight; 0: the response is here
+        std::string response;
+    };
+    std::deque<Entry> entries_;
+    std::uint64_t first_number_ = 0;
+};
+
+}  // namespace silverreach::frontend::resp
