--- a/src/frontend/common/client_connection.cpp
+++ b/src/frontend/common/client_connection.cpp
@@ -8,10 +8,10 @@
 namespace silverreach::frontend {
 
 ClientConnection::ClientConnection(ConnectionManager& manager, event::Fd fd, Micros waiting_since)
-    : wait_started_(manager.loop().now()),
-      manager_(manager),
+    : manager_(manager),
       loop_(manager.loop()),
-      stream_(loop_, std::move(fd), *this, waiting_since) {}
+      stream_(loop_, std::move(fd), *this, waiting_since),
+      wait_started_(loop_.now()) {}
 
 void ClientConnection::check_timeouts() {
     constexpr std::array<Wait, 6> order{Wait::client_end, Wait::first_message, Wait::idle,
--- a/src/frontend/common/client_connection.h
+++ b/src/frontend/common/client_connection.h
@@ -84,18 +84,22 @@
     // Leaves the manager and is destroyed at the loop's next turn. To be called once, when closed.
     void schedule_deletion();
 
+    // first_message, idle, message_rest or client_end begins.
+    void start_wait(Micros now) { wait_started_ = now; }
+
+    // Of the bytes that the protocol has not consumed.
+    event::ArrivalLog& arrivals() { return arrivals_; }
     event::Stream& stream() { return stream_; }
     const event::Stream& stream() const { return stream_; }
 
-    event::ArrivalLog arrivals_;  // of bytes that the protocol has not consumed
-    Micros wait_started_;         // the present wait: first_message, idle, message or client_end
-
   private:
     friend class ConnectionManager;
 
     ConnectionManager& manager_;
     event::Loop& loop_;
     event::Stream stream_;
+    event::ArrivalLog arrivals_;
+    Micros wait_started_;
     bool lingering_ = false;
     std::size_t slot_ = 0;  // in the manager's list
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/frontend/common/connection_manager.h
+++ b/src/frontend/common/connection_manager.h
@@ -1,6 +1,7 @@
 // The connections of clients below their protocol: accepting, limits, eviction and draining.
 #pragma once
 
+#include <algorithm>
 #include <cstdint>
 #include <functional>
 #include <memory>
@@ -56,9 +57,8 @@
     std::size_t size() const { return connections_.size(); }
     template <class Predicate>
     bool any_of(Predicate predicate) const {
-        for (const auto& connection : connections_)
-            if (predicate(*connection)) return true;
-        return false;
+        return std::ranges::any_of(connections_,
+                                   [&](const auto& connection) { return predicate(*connection); });
     }
 
     // Accepts what the system has accepted already, then no more. `deadline`: of DrainManager.
--- a/src/frontend/http/http_connection.cpp
+++ b/src/frontend/http/http_connection.cpp
@@ -1,7 +1,5 @@
 #include "frontend/http/http_connection.h"
 
-#include <fmt/format.h>
-
 #include <algorithm>
 #include <utility>
 
@@ -36,7 +34,7 @@
 
 void HttpConnection::on_data(std::string_view bytes) {
     if (!accepts_input()) return;
-    arrivals_.add(bytes.size(), stream().arrived());
+    arrivals().add(bytes.size(), stream().arrived());
     if (!reading() || !pending_.empty()) {
         pending_.append(bytes);
         if (pending_.size() > max_pending_bytes) stream().read(false);
@@ -51,9 +49,9 @@
 
 // A request's time runs from the arrival of its first byte, also where it waited for its turn.
 std::size_t HttpConnection::feed_parser(std::string_view bytes) {
-    if (parser_.idle()) wait_started_ = arrivals_.time_of(1, loop().now());
+    if (parser_.idle()) start_wait(arrivals().time_of(1, loop().now()));
     const std::size_t consumed = parser_.feed(bytes);
-    arrivals_.consume(consumed);
+    arrivals().consume(consumed);
     return consumed;
 }
 
@@ -74,66 +72,21 @@
 }
 
 bool HttpConnection::on_head(wire::Head& head) {
-    begin_request(head);
-    if (const auto refusal = check_request()) {
+    request_ = make_client_request(head, wait_started(), context_);
+    if (const auto refusal = check_request(*request_, context_)) {
         reply_locally(local_reply(refusal->error), refusal->log_reason);
         return false;
     }
+    if (expects_continue(request_->head)) stream().write("HTTP/1.1 100 Continue\r\n\r\n");
     state_ = State::reading_body;
-    wait_started_ = loop().now();
+    start_wait(loop().now());
     return true;
 }
 
-void HttpConnection::begin_request(wire::Head& head) {
-    request_ = std::make_unique<Request>();
-    Request& request = *request_;
-    request.received_at = wait_started_;
-    request.head = std::move(head);
-    request.client.minor = request.head.minor;
-    request.client.head_method = request.head.method == "HEAD";
-    request.client.keep_alive = request.head.keep_alive;
-    request.client.accepts_trailers = wire::lists(request.head.fields, "TE", "trailers");
-    request.identity = identify_request(request.head, context_.random);
-    request.description = context_.callbacks.description();
-}
-
-std::optional<HttpConnection::Refusal> HttpConnection::check_request() {
-    Request& request = *request_;
-    if (auto error =
-            context_.resolver.resolve(request.head, *request.description, request.resolved))
-        return Refusal{std::move(*error), "bad-request"};
-    const auto& account = request.resolved.account;
-    if (account && !context_.callbacks.serves_account(*account))
-        return Refusal{{421, "Not of this instance", "the account is served by other instances"},
-                       "misdirected"};
-    if (request.head.has_length && request.head.length > max_body_bytes())
-        return Refusal{body_too_large(), "bad-request"};
-    return check_expectation();
-}
-
-std::optional<HttpConnection::Refusal> HttpConnection::check_expectation() {
-    const wire::Head& head = request_->head;
-    const std::string* expect = wire::find(head.fields, "Expect");
-    if (!expect) return std::nullopt;
-    if (!wire::same_name(*expect, "100-continue"))
-        return Refusal{{417, "Unknown expectation", "100-continue is the only one"}, "bad-request"};
-    const bool has_body = head.chunked || head.length > 0;
-    if (has_body && head.minor >= 1) stream().write("HTTP/1.1 100 Continue\r\n\r\n");
-    return std::nullopt;
-}
-
-std::size_t HttpConnection::max_body_bytes() const {
-    return static_cast<std::size_t>(context_.config.listen().max_body_bytes());
-}
-
-RequestError HttpConnection::body_too_large() const {
-    return {413, "Body too large", fmt::format("{} bytes at most", max_body_bytes())};
-}
-
 void HttpConnection::on_body(std::string_view bytes) {
     if (state_ != State::reading_body) return;
-    if (request_->body.size() + bytes.size() > max_body_bytes())
-        return reply_locally(local_reply(body_too_large()), "bad-request");
+    if (request_->body.size() + bytes.size() > max_body_bytes(context_))
+        return reply_locally(local_reply(body_too_large(context_)), "bad-request");
     request_->body.append(bytes);
 }
 
@@ -143,8 +96,8 @@
 
 void HttpConnection::on_fault(const wire::Fault& fault) {
     if (!request_) {
-        request_ = std::make_unique<Request>();
-        request_->received_at = wait_started_;
+        request_ = std::make_unique<ClientRequest>();
+        request_->received_at = wait_started();
     }
     request_->client.keep_alive = false;
     const RequestError error{fault.status, std::string(wire::reason_phrase(fault.status)),
@@ -157,23 +110,13 @@
 }
 
 void HttpConnection::forward_request() {
-    Request& request = *request_;
     state_ = State::awaiting_response;
     const Micros now = loop().now();
-    request.upstream = std::make_shared<upstream_http::OutRequest>();
-    request.upstream->head =
-        request_head_for_host(request.head, request.resolved.path, request.identity, client_,
-                              context_.via, request.body.size());
-    request.upstream->body = std::move(request.body);
-    request.upstream->head_method = request.client.head_method;
-    const auto& account = request.resolved.account;
-    const core::ClientRequest client_request{
-        account ? account->name : anonymous_account(client_),
-        account ? account->plan : context_.anonymous_plan, request.resolved.request_class,
-        request.resolved.units, request.resolved.deadline - (now - request.received_at)};
-    request.id = context_.core.next_id();
-    context_.in_flight[request.id] = this;
-    context_.core.start_request(now, request.id, client_request);
+    request_->upstream = make_upstream_request(*request_, client_, context_.via);
+    const core::ClientRequest core_request = make_core_request(*request_, client_, context_, now);
+    const RequestId id = request_->id = context_.core.next_id();
+    context_.in_flight[id] = this;
+    context_.core.start_request(now, id, core_request);
 }
 
 std::shared_ptr<const upstream_http::OutRequest> HttpConnection::upstream_request() const {
@@ -183,7 +126,7 @@
 // ---- responses ------------------------------------------------------------------------------
 
 void HttpConnection::reply_locally(const LocalReply& reply, std::string_view log_reason) {
-    Request& request = *request_;
+    ClientRequest& request = *request_;
     // The rest of a body that was not read would be taken for the next request.
     if (!request.body_complete || is_last_response()) request.client.keep_alive = false;
     request.client.date = context_.date.now();
@@ -200,7 +143,7 @@
 
 void HttpConnection::start_response(wire::Head& head, ResponseWriter::PauseHost pause_host) {
     if (state_ != State::awaiting_response) return;
-    Request& request = *request_;
+    ClientRequest& request = *request_;
     state_ = State::streaming_response;
     last_progress_ = loop().now();
     request.response_status = head.status;
@@ -224,7 +167,7 @@
 
 void HttpConnection::end_response(const wire::Fields& trailers) {
     if (state_ != State::streaming_response) return;
-    Request& request = *request_;
+    ClientRequest& request = *request_;
     request.response.finish(stream(), trailers, request.client.accepts_trailers);
     log_access(request.response_status, "served");
     finish_exchange();
@@ -247,7 +190,8 @@
     const bool keep_alive = request_->client.keep_alive && !half_closed_;
     context_.in_flight.erase(request_->id);
     request_.reset();
-    wait_started_ = last_progress_ = loop().now();
+    last_progress_ = loop().now();
+    start_wait(last_progress_);
     if (!keep_alive) return linger();
     state_ = State::reading_head;
     parser_.next();
@@ -330,14 +274,14 @@
     switch (wait) {
         case Wait::client_end:
             if (state_ != State::lingering) return std::nullopt;
-            return PendingWait{wait_started_, linger_timeout};
+            return PendingWait{wait_started(), linger_timeout};
         case Wait::idle:
             if (!reading() || receiving()) return std::nullopt;
-            return PendingWait{wait_started_, milliseconds(listen.idle_ms())};
+            return PendingWait{wait_started(), milliseconds(listen.idle_ms())};
         case Wait::message_rest:
             if (!receiving()) return std::nullopt;
             return PendingWait{
-                wait_started_,
+                wait_started(),
                 milliseconds(state_ == State::reading_body ? listen.body_ms() : listen.head_ms())};
         case Wait::response_read:
             if (state_ != State::streaming_response || stream().queued() == 0) return std::nullopt;
@@ -387,21 +331,8 @@
 }
 
 void HttpConnection::log_access(int status, std::string_view reason) {
-    const Request& request = *request_;
-    const ResolvedRequest& resolved = request.resolved;
-    AccessLogEntry entry;
-    entry.request_id = request.identity.request_id;
-    entry.method = request.head.method;
-    entry.path = request.head.target.substr(0, request.head.target.find('?'));
-    entry.account = resolved.account ? resolved.account->name : "";
-    entry.key_id = resolved.account ? resolved.account->key_id : "";
-    entry.request_class = resolved.route ? resolved.route->request_class : "";
-    entry.reason = reason;
-    entry.client = client_;
-    entry.units = resolved.units;
-    entry.status = status;
-    entry.duration = loop().now() - request.received_at;
-    context_.callbacks.log_access(entry);
+    context_.callbacks.log_access(
+        make_access_log_entry(*request_, client_, status, reason, loop().now()));
 }
 
 }  // namespace silverreach::frontend::http
--- a/src/frontend/http/http_connection.h
+++ b/src/frontend/http/http_connection.h
@@ -12,9 +12,9 @@
 #include <string_view>
 
 #include "frontend/common/client_connection.h"
+#include "frontend/http/client_request.h"
 #include "frontend/http/frontend_context.h"
 #include "frontend/http/local_reply.h"
-#include "frontend/http/message_translation.h"
 #include "frontend/http/response_writer.h"
 #include "http/parser.h"
 #include "upstream/http/upstream.h"
@@ -56,26 +56,6 @@
         abandoned,  // the client has gone, its request is being cancelled
         closed
     };
-    struct Request {
-        std::shared_ptr<const openapi::Description> description;  // resolved points into it
-        wire::Head head;
-        ResolvedRequest resolved;
-        RequestIdentity identity;
-        std::string body;
-        bool body_complete = false;
-        Micros received_at{0};  // its first byte
-        RequestId id = 0;       // of the core; 0: not handed over yet
-        std::shared_ptr<upstream_http::OutRequest> upstream;
-        ClientCapabilities client;
-        ResponseWriter response;
-        int response_status = 0;
-    };
-    // Why a request is not handed to the core.
-    struct Refusal {
-        RequestError error;
-        std::string_view log_reason;
-    };
-
     std::optional<PendingWait> pending_wait(Wait wait) const override;
     bool on_wait_expired(Wait wait) override;
     void check_timeouts_periodically();
@@ -92,11 +72,6 @@
     bool accepts_input() const { return state_ != State::lingering && state_ != State::closed; }
     std::size_t feed_parser(std::string_view bytes);
     void process_pending();
-    void begin_request(wire::Head& head);
-    std::optional<Refusal> check_request();
-    std::optional<Refusal> check_expectation();
-    RequestError body_too_large() const;
-    std::size_t max_body_bytes() const;
     void forward_if_complete();
     void forward_request();
 
@@ -118,7 +93,7 @@
     Micros last_progress_{0};   // the client last read something
     bool half_closed_ = false;  // by the client
     // On the heap, so that an idle connection stays small.
-    std::unique_ptr<Request> request_;
+    std::unique_ptr<ClientRequest> request_;
 };
 
 }  // namespace silverreach::frontend::http
--- a/src/frontend/resp/frontend_context.h
+++ b/src/frontend/resp/frontend_context.h
@@ -31,6 +31,9 @@
     RequestTable requests = {};
     FrontendCounters counters = {};
     std::function<void(const ConnectionClose&)> on_close = {};  // may be empty
+
+    // Counts the close, checks it against the rules and reports it to on_close.
+    void report_close(const ConnectionClose& close);
 };
 
 }  // namespace silverreach::frontend::resp
--- a/src/frontend/resp/resp_connection.cpp
+++ b/src/frontend/resp/resp_connection.cpp
@@ -49,7 +49,7 @@
     }
     // The client's end may have arrived with the bytes: nobody waits for a response.
     if (peer_closed()) return close(CloseReason::client_ended);
-    wait_started_ = loop().now();
+    start_wait(loop().now());
     if (state_ == State::failing) {
         if (!discard(bytes.size())) stream().read(false);
         return;
@@ -57,7 +57,7 @@
     const std::size_t before = input_.size();
     input_.append(bytes);
     account_input(before);
-    arrivals_.add(bytes.size(), stream().arrived());
+    arrivals().add(bytes.size(), stream().arrived());
     read_commands();
 }
 
@@ -110,7 +110,7 @@
             words.push_back(reader_.word(rest, i));
         consumed += reader_.size();
         const Micros now = loop().now();
-        handle_command(words, now - arrivals_.time_of(consumed, now));
+        handle_command(words, now - arrivals().time_of(consumed, now));
         rest = std::string_view(input_).substr(consumed);
         reader_.next();
     }
@@ -119,10 +119,10 @@
 
 void RespConnection::consume_input(std::size_t consumed) {
     input_.erase(0, consumed);
-    arrivals_.consume(consumed);
+    arrivals().consume(consumed);
     // After a broken frame nothing is a command any more.
     if (state_ != State::open) input_.clear();
-    if (input_.empty()) arrivals_.consume_all();
+    if (input_.empty()) arrivals().consume_all();
     if (input_.empty() && input_.capacity() > idle_input_capacity) input_.shrink_to_fit();
     if (input_.empty())
         incomplete_since_ = 0us;
@@ -204,7 +204,7 @@
 void RespConnection::flush() {
     const std::string out = responses_.take_ready();
     if (!out.empty()) {
-        wait_started_ = loop().now();
+        start_wait(loop().now());
         stream().write(out);
     }
     if (stream().queued() == 0)
@@ -229,13 +229,13 @@
     if ((state_ == State::lingering) != (wait == Wait::client_end)) return std::nullopt;
     switch (wait) {
         case Wait::client_end:
-            return PendingWait{wait_started_, linger_timeout};
+            return PendingWait{wait_started(), linger_timeout};
         case Wait::first_message:
             if (!responses_.empty() || commands_ > 0) return std::nullopt;
-            return PendingWait{wait_started_, first_command_timeout};
+            return PendingWait{wait_started(), first_command_timeout};
         case Wait::idle:
             if (!responses_.empty() || commands_ == 0) return std::nullopt;
-            return PendingWait{wait_started_, idle_timeout};
+            return PendingWait{wait_started(), idle_timeout};
         case Wait::drain:
             if (!drained()) return std::nullopt;
             return PendingWait{loop().now(), 0us};
@@ -319,7 +319,7 @@
     if (state_ == State::closed || state_ == State::lingering) return;
     state_ = State::lingering;
     report_close(reason);
-    wait_started_ = loop().now();
+    start_wait(loop().now());
     unread_since_ = 0us;
     const std::size_t before = input_.size();
     input_.clear();
@@ -342,12 +342,7 @@
 }
 
 void RespConnection::report_close(CloseReason reason) {
-    const ConnectionClose close{reason, responses_.pending().size(), loop().now() - opened_at_};
-    ++context_.counters.closes[static_cast<std::size_t>(reason)];
-    const bool by_client = reason == CloseReason::client_ended;
-    if (rules::AttemptRules::check_close({close.requests_in_flight, by_client}))
-        ++context_.counters.closed_with_requests;
-    if (context_.on_close) context_.on_close(close);
+    context_.report_close({reason, responses_.pending().size(), loop().now() - opened_at_});
 }
 
 }  // namespace silverreach::frontend::resp
