--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -10,8 +10,8 @@
 #include "core/request_coordinator.h"
 #include "discovery/watch.h"
 #include "event/loop.h"
-#include "event/token_timers.h"
-#include "frontend/resp/front.h"
+#include "event/timer_wheel.h"
+#include "frontend/resp/frontend.h"
 #include "log/log.h"
 #include "peers/plain.h"
 #include "platform/config.h"
@@ -25,7 +25,7 @@
     Node(event::Loop& loop, platform::NodeConfig config, log::Log& log);
     ~Node() override;
 
-    int port() const { return front_->port(); }
+    int port() const { return frontend_->port(); }
     // A new configuration: its discovery is followed from now on. What else differs waits for a
     // restart.
     void reload(const platform::NodeConfig& fresh);
@@ -70,11 +70,11 @@
     const Micros offset_;
     platform::Judge judge_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    event::TokenTimers timers_;
+    event::TimerWheel timers_;
     std::unique_ptr<core::RequestCoordinator> core_;
     std::unique_ptr<upstream_resp::Upstream> upstream_;
     std::unique_ptr<peers::PlainPeers> peers_;
-    std::unique_ptr<frontend::resp::Front> front_;
+    std::unique_ptr<frontend::resp::Frontend> frontend_;
     std::unique_ptr<discovery::Watch> watch_;
     bool draining_ = false;
     std::array<std::uint64_t, 7> refused_{};  // by RefuseReason
--- /dev/null
+++ b/src/frontend/http/http_connection.cpp
@@ -0,0 +1,338 @@
+#include "frontend/http/http_connection.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "frontend/common/connection_manager.h"
+
+namespace silverreach::frontend::http {
+namespace {
+using namespace std::chrono_literals;
+using std::chrono::milliseconds;
+constexpr std::size_t max_pending_bytes = std::size_t{64} * 1024;  // then reading stops
+constexpr std::size_t max_header_fields = 100;
+constexpr Micros linger_timeout = 1s;
+constexpr Micros min_check_period = 250ms;
+constexpr int idle_checks_per_timeout = 4;
+
+wire::HeadLimits head_limits(const config::Listen& listen) {
+    return {static_cast<std::size_t>(listen.max_target_bytes()),
+            static_cast<std::size_t>(listen.max_head_bytes()), max_header_fields};
+}
+}  // namespace
+
+HttpConnection::HttpConnection(FrontendContext& context, ConnectionManager& manager, event::Fd fd,
+                               std::string client, Micros waiting_since)
+    : ClientConnection(manager, std::move(fd), waiting_since),
+      context_(context),
+      parser_(wire::Parser::Kind::request, *this, head_limits(context.config.listen())),
+      client_(std::move(client)) {
+    check_timeouts_periodically();
+}
+
+// ---- requests -------------------------------------------------------------------------------
+
+void HttpConnection::on_data(std::string_view bytes) {
+    if (!accepts_input()) return;
+    arrivals().add(bytes.size(), stream().arrived());
+    if (!reading() || !pending_.empty()) {
+        pending_.append(bytes);
+        if (pending_.size() > max_pending_bytes) stream().read(false);
+        if (reading()) process_pending();
+        return;
+    }
+    const std::size_t consumed = feed_parser(bytes);
+    // What one request leaves over belongs to the next.
+    if (accepts_input() && consumed < bytes.size()) pending_.append(bytes.substr(consumed));
+    forward_if_complete();
+}
+
+// A request's time runs from the arrival of its first byte, also where it waited for its turn.
+std::size_t HttpConnection::feed_parser(std::string_view bytes) {
+    if (parser_.idle()) start_wait(arrivals().time_of(1, loop().now()));
+    const std::size_t consumed = parser_.feed(bytes);
+    arrivals().consume(consumed);
+    return consumed;
+}
+
+void HttpConnection::process_pending() {
+    while (reading() && !pending_.empty()) {
+        const std::string bytes = std::exchange(pending_, {});
+        const std::size_t consumed = feed_parser(bytes);
+        if (!accepts_input()) return;
+        pending_.assign(bytes, consumed);
+        if (request_ && request_->body_complete)
+            forward_if_complete();
+        else if (consumed == 0)
+            break;
+    }
+    if (state_ == State::closed) return;
+    if (pending_.size() <= max_pending_bytes && state_ != State::lingering) stream().read(true);
+    if (half_closed_ && reading()) close();
+}
+
+bool HttpConnection::on_head(wire::Head& head) {
+    request_ = make_client_request(head, wait_started(), context_);
+    if (const auto refusal = check_request(*request_, context_)) {
+        reply_locally(local_reply(refusal->error), refusal->log_reason);
+        return false;
+    }
+    if (expects_continue(request_->head)) stream().write("HTTP/1.1 100 Continue\r\n\r\n");
+    state_ = State::reading_body;
+    start_wait(loop().now());
+    return true;
+}
+
+void HttpConnection::on_body(std::string_view bytes) {
+    if (state_ != State::reading_body) return;
+    if (request_->body.size() + bytes.size() > max_body_bytes(context_))
+        return reply_locally(local_reply(body_too_large(context_)), "bad-request");
+    request_->body.append(bytes);
+}
+
+void HttpConnection::on_message_end(wire::Fields&) {
+    if (state_ == State::reading_body) request_->body_complete = true;
+}
+
+void HttpConnection::on_fault(const wire::Fault& fault) {
+    if (!request_) {
+        request_ = std::make_unique<ClientRequest>();
+        request_->received_at = wait_started();
+    }
+    request_->client.keep_alive = false;
+    const RequestError error{fault.status, std::string(wire::reason_phrase(fault.status)),
+                             std::string(fault.why)};
+    reply_locally(local_reply(error), "bad-request");
+}
+
+void HttpConnection::forward_if_complete() {
+    if (state_ == State::reading_body && request_->body_complete) forward_request();
+}
+
+void HttpConnection::forward_request() {
+    state_ = State::awaiting_response;
+    const Micros now = loop().now();
+    request_->upstream = make_upstream_request(*request_, client_, context_.via);
+    const core::ClientRequest core_request = make_core_request(*request_, client_, context_, now);
+    const RequestId id = request_->id = context_.core.next_id();
+    context_.in_flight[id] = this;
+    context_.core.start_request(now, id, core_request);
+}
+
+std::shared_ptr<const upstream_http::OutRequest> HttpConnection::upstream_request() const {
+    return request_->upstream;
+}
+
+// ---- responses ------------------------------------------------------------------------------
+
+void HttpConnection::reply_locally(const LocalReply& reply, std::string_view log_reason) {
+    ClientRequest& request = *request_;
+    // The rest of a body that was not read would be taken for the next request.
+    if (!request.body_complete || is_last_response()) request.client.keep_alive = false;
+    request.client.date = context_.date.now();
+    stream().write(serialize(reply, request.client, request.identity.request_id));
+    log_access(reply.status, log_reason);
+    finish_exchange();
+}
+
+void HttpConnection::finish(const core::FinalResponse& response) {
+    if (state_ != State::awaiting_response) return;
+    const LocalReply reply = local_reply(response);
+    reply_locally(reply, reply.type);
+}
+
+void HttpConnection::start_response(wire::Head& head, ResponseWriter::PauseHost pause_host) {
+    if (state_ != State::awaiting_response) return;
+    ClientRequest& request = *request_;
+    state_ = State::streaming_response;
+    last_progress_ = loop().now();
+    request.response_status = head.status;
+    request.client.date = context_.date.now();
+    if (is_last_response()) request.client.keep_alive = false;
+    Framing framing = Framing::none;
+    const std::string translated = response_head_for_client(
+        head, request.client, request.identity.request_id, context_.via, framing);
+    request.response.start(stream(), translated, framing, std::move(pause_host));
+    if (framing == Framing::until_close) request.client.keep_alive = false;
+}
+
+void HttpConnection::append_body(std::string_view bytes) {
+    if (state_ == State::streaming_response) request_->response.write_body(stream(), bytes);
+}
+
+void HttpConnection::on_drained() {
+    last_progress_ = loop().now();
+    if (state_ == State::streaming_response) request_->response.on_drained();
+}
+
+void HttpConnection::end_response(const wire::Fields& trailers) {
+    if (state_ != State::streaming_response) return;
+    ClientRequest& request = *request_;
+    request.response.finish(stream(), trailers, request.client.accepts_trailers);
+    log_access(request.response_status, "served");
+    finish_exchange();
+}
+
+void HttpConnection::abort_response(std::string_view reason) {
+    if (state_ != State::streaming_response) return;
+    log_access(request_->response_status, reason);
+    context_.in_flight.erase(request_->id);
+    stream().reset();
+    close();
+}
+
+// While draining a response is the last one where no further request has been received.
+bool HttpConnection::is_last_response() const {
+    return manager().drain().draining() && pending_.empty() && !stream().unread();
+}
+
+void HttpConnection::finish_exchange() {
+    const bool keep_alive = request_->client.keep_alive && !half_closed_;
+    context_.in_flight.erase(request_->id);
+    request_.reset();
+    last_progress_ = loop().now();
+    start_wait(last_progress_);
+    if (!keep_alive) return linger();
+    state_ = State::reading_head;
+    parser_.next();
+    if (pending_.empty() && !half_closed_) return;
+    // Not from within the call that brought the response: a client could otherwise nest requests
+    // without end.
+    call_later(0us, [this] {
+        if (reading()) process_pending();
+    });
+}
+
+void HttpConnection::linger() {
+    state_ = State::lingering;
+    pending_.clear();
+    start_lingering_close();
+    if (half_closed_ && stream().queued() == 0) close();
+}
+
+// ---- the client's end -----------------------------------------------------------------------
+
+void HttpConnection::on_end() {
+    half_closed_ = true;
+    if (state_ == State::lingering) {
+        if (stream().queued() == 0) close();
+        return;
+    }
+    if (state_ == State::reading_head && pending_.empty()) return close();
+    const bool waits_on = context_.config.listen().half_closed() == config::Listen::ANSWER;
+    if (waits_on && !reading()) return;
+    disconnect();
+}
+
+void HttpConnection::check_client_connected() {
+    // Where clients may end their half and wait on, an end says nothing.
+    const bool may_wait_on = context_.config.listen().half_closed() == config::Listen::ANSWER;
+    if (may_wait_on || state_ == State::closed || !peer_closed()) return;
+    disconnect();
+}
+
+void HttpConnection::on_broken(int) {
+    if (state_ != State::closed) disconnect();
+}
+
+void HttpConnection::abandon_request() {
+    if (state_ != State::awaiting_response && state_ != State::streaming_response) return;
+    const RequestId id = request_->id;
+    log_access(request_->response_status, "left");
+    context_.in_flight.erase(id);
+    state_ = State::abandoned;
+    context_.core.on_client_disconnected(loop().now(), id);
+}
+
+void HttpConnection::disconnect() {
+    abandon_request();
+    close();
+}
+
+void HttpConnection::close() {
+    if (state_ == State::closed) return;
+    state_ = State::closed;
+    stream().close();
+    schedule_deletion();
+}
+
+bool HttpConnection::has_unfinished_work() const {
+    if (state_ == State::closed) return false;
+    if (state_ == State::lingering) return stream().queued() > 0;
+    return !reading() || receiving() || !pending_.empty() || stream().queued() > 0 ||
+           stream().unread();
+}
+
+// ---- time-outs ------------------------------------------------------------------------------
+
+bool HttpConnection::receiving() const {
+    return state_ == State::reading_body || (state_ == State::reading_head && !parser_.idle());
+}
+
+std::optional<ClientConnection::PendingWait> HttpConnection::pending_wait(Wait wait) const {
+    const config::Listen& listen = context_.config.listen();
+    switch (wait) {
+        case Wait::client_end:
+            if (state_ != State::lingering) return std::nullopt;
+            return PendingWait{wait_started(), linger_timeout};
+        case Wait::idle:
+            if (!reading() || receiving()) return std::nullopt;
+            return PendingWait{wait_started(), milliseconds(listen.idle_ms())};
+        case Wait::message_rest:
+            if (!receiving()) return std::nullopt;
+            return PendingWait{
+                wait_started(),
+                milliseconds(state_ == State::reading_body ? listen.body_ms() : listen.head_ms())};
+        case Wait::response_read:
+            if (state_ != State::streaming_response || stream().queued() == 0) return std::nullopt;
+            return PendingWait{last_progress_, milliseconds(listen.stalled_ms())};
+        case Wait::first_message:  // the limit of idle connections covers it
+        case Wait::drain:          // the last response ends the connection
+            return std::nullopt;
+    }
+    return std::nullopt;
+}
+
+bool HttpConnection::on_wait_expired(Wait wait) {
+    switch (wait) {
+        case Wait::client_end:
+        case Wait::idle:
+            close();
+            return true;
+        case Wait::message_rest:
+            on_fault({408, state_ == State::reading_body ? "the body did not come in time"
+                                                         : "the head did not come in time"});
+            return true;
+        case Wait::response_read:
+            abandon_request();
+            stream().reset();
+            close();
+            return true;
+        case Wait::first_message:
+        case Wait::drain:
+            break;
+    }
+    return false;
+}
+
+// Less often while idle: ten thousand idle clients cost next to nothing.
+void HttpConnection::check_timeouts_periodically() {
+    check_timeouts();
+    if (state_ == State::closed) return;
+    const config::Listen& listen = context_.config.listen();
+    Micros period = min_check_period;
+    if (reading() && !receiving())
+        period =
+            std::max<Micros>(period, milliseconds(std::min(listen.idle_ms(), listen.head_ms())) /
+                                         idle_checks_per_timeout);
+    call_later(period, [this] {
+        if (state_ != State::closed) check_timeouts_periodically();
+    });
+}
+
+void HttpConnection::log_access(int status, std::string_view reason) {
+    context_.callbacks.log_access(
+        make_access_log_entry(*request_, client_, status, reason, loop().now()));
+}
+
+}  // namespace silverreach::frontend::http
--- a/src/upstream/common/connection_pool.cpp
+++ b/src/upstream/common/connection_pool.cpp
@@ -202,7 +202,7 @@
 void ConnectionPool::retire(std::unique_ptr<PooledConnection> connection) {
     connection->retire();
     --open_;
-    retired_.bury(std::move(connection));
+    retired_.schedule(std::move(connection));
 }
 
 // Closes unused connections at their time-outs and removes hosts that are no longer listed.
--- a/src/upstream/common/connection_pool.h
+++ b/src/upstream/common/connection_pool.h
@@ -14,7 +14,7 @@
 #include <variant>
 #include <vector>
 
-#include "event/graveyard.h"
+#include "event/deferred_deletion.h"
 #include "upstream/common/host_connections.h"
 #include "upstream/common/pool_policy.h"
 #include "upstream/common/pooled_connection.h"
@@ -113,7 +113,7 @@
     PoolPolicy policy_;
     Factory factory_;
     std::unordered_map<std::string, std::unique_ptr<HostConnections>> hosts_;
-    event::Graveyard<PooledConnection> retired_;
+    event::DeferredDeletion<PooledConnection> retired_;
     std::size_t open_ = 0;
     Stats counts_;  // what is counted, not what is there now
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
