--- a/src/decisions/load_balancing/endpoint_selector.cpp
+++ b/src/decisions/load_balancing/endpoint_selector.cpp
@@ -62,11 +62,15 @@
         if (i < preferred) std::swap(order[i], order[i + random_.index(preferred - i)]);
         Endpoint& endpoint = *order[i];
         if (!is_eligible(request, endpoint)) continue;
+        const double in_flight = estimator_.in_flight(endpoint);
+        if (health_checker_.has_sufficient_samples(endpoint) &&
+            in_flight >= limiter_.limit(endpoint))
+            continue;
         ++compared;
         const bool warming_up = endpoints_.warm_count() > 0 &&
                                 capacity_share(endpoint, context_.settings, context_.now) < 1;
         if (!warming_up)
-            cheapest.offer(endpoint, request_cost(request, endpoint));
+            cheapest.offer(endpoint, request_cost(request, endpoint, in_flight));
         else if (slow_start_.admit_during_slow_start(endpoint, request.arrival.units))
             return {&endpoint, nullptr};
     }
@@ -74,27 +78,26 @@
 }
 
 bool EndpointSelector::is_eligible(const RequestState& request, const Endpoint& endpoint) const {
-    if (endpoint.entry.status != EndpointStatus::available || outliers_.is_ejected(endpoint) ||
-        !may_run_at(context_, request, endpoint))
-        return false;
-    if (health_checker_.has_sufficient_samples(endpoint) && limiter_.at_limit(endpoint))
-        return false;
-    return !outliers_.avoids_class(endpoint, request.arrival.request_class);
+    return endpoint.entry.status == EndpointStatus::available && !outliers_.is_ejected(endpoint) &&
+           may_run_at(context_, request, endpoint) &&
+           !outliers_.avoids_class(endpoint, request.arrival.request_class);
 }
 
-double EndpointSelector::expected_cost(const Endpoint& endpoint) const {
+double EndpointSelector::expected_cost(const Endpoint& endpoint, double in_flight) const {
     const double responses = endpoint.recent_responses(context_.now);
     const double fleet_response_s = std::max(context_.traffic.mean_response_s, 1e-3);
     const double response_s =
         (responses * endpoint.mean_response_s + fleet_prior_responses * fleet_response_s) /
         (responses + fleet_prior_responses);
-    return (estimator_.in_flight(endpoint) + 1) * response_s /
+    return (in_flight + 1) * response_s /
            (std::max(endpoint.entry.weight, 1e-3) *
             capacity_share(endpoint, context_.settings, context_.now));
 }
 
-double EndpointSelector::request_cost(const RequestState& request, const Endpoint& endpoint) {
-    double cost = expected_cost(endpoint) * (1 - cost_jitter / 2 + cost_jitter * random_.uniform());
+double EndpointSelector::request_cost(const RequestState& request, const Endpoint& endpoint,
+                                      double in_flight) {
+    double cost = expected_cost(endpoint, in_flight) *
+                  (1 - cost_jitter / 2 + cost_jitter * random_.uniform());
     if (endpoint.entry.zone != context_.settings.zone)
         cost *= 1 + cross_zone_cost_scale * context_.settings.cross_zone_cost;
     if (endpoint.entry.id == request.last_endpoint) cost *= last_endpoint_cost;
@@ -104,10 +107,15 @@
 
 Endpoint* EndpointSelector::best_checked(const RequestState& request) const {
     Endpoint* best = nullptr;
+    double best_cost = 0;
     for (Endpoint* endpoint : request.candidates) {
         if (!health_checker_.has_capacity(*endpoint) || !may_run_at(context_, request, *endpoint))
             continue;
-        if (!best || expected_cost(*endpoint) < expected_cost(*best)) best = endpoint;
+        const double cost = expected_cost(*endpoint, estimator_.in_flight(*endpoint));
+        if (!best || cost < best_cost) {
+            best = endpoint;
+            best_cost = cost;
+        }
     }
     return best;
 }
--- a/src/decisions/load_balancing/endpoint_selector.h
+++ b/src/decisions/load_balancing/endpoint_selector.h
@@ -26,10 +26,13 @@
     Endpoint* best_checked(const RequestState& request) const;
 
   private:
-    // Grows with the time that one more request would take at the endpoint.
-    double expected_cost(const Endpoint& endpoint) const;
-    // The expected cost with what the request adds to it: zone, repetition, avoidance. Draws.
-    double request_cost(const RequestState& request, const Endpoint& endpoint);
+    // Grows with the time that one more request would take at the endpoint. `in_flight`: requests
+    // that it has in flight by the InFlightEstimator.
+    double expected_cost(const Endpoint& endpoint, double in_flight) const;
+    // The expected cost with what the request adds to it: zone, repetition, avoidance. Each call
+    // draws a random number.
+    double request_cost(const RequestState& request, const Endpoint& endpoint, double in_flight);
+    // Whether the endpoint may get the request at all, whatever its load.
     bool is_eligible(const RequestState& request, const Endpoint& endpoint) const;
 
     const DecisionContext& context_;
