--- a/src/core/request_coordinator.cpp
+++ b/src/core/request_coordinator.cpp
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "core/timer_token.h"
+#include "decisions/retry/repeat_rules.h"
 
 namespace silverreach::core {
 namespace {
@@ -15,11 +16,6 @@
 constexpr Micros late_response_tolerance = 50ms;  // after the deadline
 constexpr Micros min_endpoint_time = 1us;
 
-bool proves_that_it_never_ran(Outcome outcome) {
-    return outcome == Outcome::rejected || outcome == Outcome::connect_failed ||
-           outcome == Outcome::not_started;
-}
-
 FailureReason failure_reason(const Request& request) {
     const bool timed_out = request.has_attempt_in_flight() ||
                            request.last_outcome == Outcome::timeout ||
@@ -110,7 +106,7 @@
 void RequestCoordinator::on_attempt_ended(Micros now, const AttemptKey& key,
                                           const std::string& endpoint, Outcome outcome,
                                           Micros duration, const LoadReport& report) {
-    Request* request = requests_.end_attempt(key, proves_that_it_never_ran(outcome));
+    Request* request = requests_.end_attempt(key, proves_not_run(outcome));
     if (!request) return;
     request->last_outcome = outcome;
     handle_event(now, AttemptEnded{.id = key.request,
