--- a/tests/gateway/host_test.cpp
+++ b/tests/gateway/host_test.cpp
@@ -1,5 +1,4 @@
-// Hosts that misbehave, against the rules of the brief: judged from what the scripted hosts and
-// clients saw.
+// Misbehaving hosts, end to end: checked by what scripted hosts and clients receive.
 #include <fcntl.h>
 #include <sys/resource.h>
 
@@ -9,14 +8,14 @@
 using namespace rig;
 
 namespace {
-const char* const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const char* const complete_response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 std::string post(const std::string& path, const std::string& fields = "") {
     return "POST " + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + fields +
            "Content-Length: 3\r\n\r\nabc";
 }
 }  // namespace
 
-TEST(Hosts, FullIsTriedElsewhereAndAPlain503MayHaveRun) {
+TEST(Hosts, ARejectionIsRetriedElsewhereAndAPlain503MayHaveRun) {
     Options o;
     o.hosts = 2;
     TestGateway g(o);
@@ -24,9 +23,10 @@
         h->respond = [&](ScriptedHost::Peer& p, const std::string&) {
             p.stream.write(g.requests() == 1
                                ? "HTTP/1.1 503 x\r\nFull: 1\r\nContent-Length: 4\r\n\r\nfull"
-                               : whole);
+                               : complete_response);
         };
-    EXPECT_EQ(status(g.talk(post("/a"))), 200) << "turned away, so even an unsafe one goes on";
+    EXPECT_EQ(status(g.talk(post("/a"))), 200)
+        << "rejected, so even a non-idempotent one is retried";
     EXPECT_EQ(g.requests(), 2u);
     EXPECT_TRUE(g.hosts[0]->bytes.find("Silverreach-Attempt: 1") != std::string::npos ||
                 has(g.hosts[1]->bytes, "Silverreach-Attempt: 1"));
@@ -41,7 +41,7 @@
     EXPECT_EQ(plain.requests(), 1u) << "it may have run";
 }
 
-TEST(Hosts, AKeyedRepeatCarriesTheSameKeyAndRequestId) {
+TEST(Hosts, AnIdempotentRetryCarriesTheSameKeyAndRequestId) {
     Options o;
     o.hosts = 2;
     TestGateway g(o);
@@ -50,7 +50,7 @@
             if (g.requests() == 1)
                 p.stream.reset();
             else
-                p.stream.write(whole);
+                p.stream.write(complete_response);
         };
     EXPECT_EQ(status(g.talk(post("/keyed", "Idempotency-Key: once\r\nX-Request-Id: same\r\n"))),
               200);
@@ -63,11 +63,11 @@
     TestGateway without(o);
     for (auto& h : without.hosts)
         h->respond = [](ScriptedHost::Peer& p, const std::string&) { p.stream.reset(); };
-    EXPECT_EQ(status(without.talk(post("/keyed"))), 502) << "without a key it is unsafe";
+    EXPECT_EQ(status(without.talk(post("/keyed"))), 502) << "without a key it is not idempotent";
     EXPECT_EQ(without.requests(), 1u);
 }
 
-TEST(Hosts, AnAnswerCutInTheMiddleNeverLooksWhole) {
+TEST(Hosts, ATruncatedResponseNeverLooksComplete) {
     const std::vector<std::string> starts = {
         "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -86,11 +86,11 @@
                 ASSERT_TRUE(g.run([&] { return c->over(); }));
                 EXPECT_TRUE(c->broken) << start << c->got;
                 EXPECT_FALSE(c->got.ends_with("0\r\n\r\n"));
-                EXPECT_EQ(g.requests(), 1u) << "its answer had begun";
+                EXPECT_EQ(g.requests(), 1u) << "its response had begun";
             }
 }
 
-TEST(Hosts, AResetOnAReusedConnectionBeforeAnyByteIsNotRepeatedIfUnsafe) {
+TEST(Hosts, AResetOnAReusedConnectionIsNotRetriedIfNotIdempotent) {
     TestGateway g;
     ASSERT_EQ(status(g.talk(post("/a"))), 200);
     g.hosts[0]->respond = [](ScriptedHost::Peer& p, const std::string&) { p.stream.reset(); };
@@ -99,7 +99,7 @@
     EXPECT_EQ(g.requests(), 2u);
 }
 
-TEST(Hosts, AKeptConnectionThatTheHostClosedIsNotUsedAgain) {
+TEST(Hosts, AnIdleConnectionThatTheHostClosedIsNotReused) {
     TestGateway g;
     ASSERT_EQ(status(g.talk(post("/a"))), 200);
     g.hosts[0]->peers[0]->stream.close();
@@ -108,17 +108,17 @@
     EXPECT_EQ(g.hosts[0]->peers.size(), 2u);
 }
 
-TEST(Hosts, BytesBeyondAnAnswerAreNoAnswerToTheNext) {
+TEST(Hosts, BytesBehindAResponseAreNoResponseToTheNext) {
     TestGateway g;
     g.hosts[0]->respond = [](ScriptedHost::Peer& p, const std::string&) {
-        p.stream.write(std::string(whole) + whole);
+        p.stream.write(std::string(complete_response) + complete_response);
     };
     EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
     EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
     EXPECT_EQ(g.hosts[0]->peers.size(), 2u);
 }
 
-TEST(Hosts, AnEarlyAnswerEndsTheConnectionNotTheRequest) {
+TEST(Hosts, AnEarlyResponseEndsTheConnectionNotTheRequest) {
     Options o;
     o.listen = "max_body_bytes: 33554432";
     TestGateway g(o);
@@ -149,7 +149,7 @@
     EXPECT_EQ(status(answer), 413) << answer.substr(0, 200);
 }
 
-TEST(Hosts, GarbageForAnAnswerIsABadAnswer) {
+TEST(Hosts, AMalformedResponseIsABadGateway) {
     for (const char* bad :
          {"hello\r\n\r\n", "HTTP/1.1 200 OK\nContent-Length: 2\n\nok\r\n\r\n",
           "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nok",
@@ -163,7 +163,7 @@
     }
 }
 
-TEST(Hosts, SilenceEndsInTimeAndNothingIsSentAfterwards) {
+TEST(Hosts, AnUnresponsiveHostEndsAtTheDeadlineAndNothingIsSentAfterwards) {
     for (const std::string path : {"/a", "/safe", "/keyed"}) {
         Options o;
         o.hosts = 2;
@@ -176,14 +176,14 @@
         EXPECT_EQ(status(answer), 504) << answer;
         EXPECT_LT(event::Loop::clock() - begin, 400ms + 150ms);
         EXPECT_EQ(has(answer, "no-time"), path != "/safe")
-            << "only a harmless one is a refusal: " << answer;
+            << "only a safe one is rejected: " << answer;
         const std::size_t sent = g.requests();
         g.run([] { return false; }, 300ms);
         EXPECT_EQ(g.requests(), sent);
     }
 }
 
-TEST(Hosts, DeadOnesAreKnownNotToHaveRun) {
+TEST(Hosts, RefusedConnectionsAreKnownNotToHaveRun) {
     Options o;
     o.hosts = 3;
     TestGateway g(o);
@@ -194,7 +194,7 @@
     EXPECT_EQ(g.hosts[2]->requests.size(), 10u) << "each once";
 }
 
-TEST(Hosts, AClientThatLeavesIsSentNothingMore) {
+TEST(Hosts, NothingIsForwardedForADisconnectedClient) {
     Options o;
     o.hosts = 2;
     TestGateway g(o);
@@ -207,10 +207,10 @@
         c->stream.reset();
     }
     g.run([] { return false; }, 700ms);
-    EXPECT_EQ(g.requests(), 1u) << "no second copy for nobody";
+    EXPECT_EQ(g.requests(), 1u) << "no hedged request for a disconnected client";
 }
 
-TEST(Hosts, AListThatChangesIsFollowedAndABadOneIsNot) {
+TEST(Hosts, AChangedEndpointListIsAppliedAndAnInvalidOneIsNot) {
     Options o;
     o.hosts = 2;
     TestGateway g(o);
@@ -267,11 +267,11 @@
     none.rlim_cur = static_cast<rlim_t>(lowest.get());
     lowest.reset();
     setrlimit(RLIMIT_NOFILE, &none);
-    EXPECT_TRUE(g.run([&] { return fresh->over(); })) << "told at once, not left waiting";
+    EXPECT_TRUE(g.run([&] { return fresh->over(); })) << "closed at once, not left waiting";
     kept->got.clear();
     kept->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     EXPECT_TRUE(g.run([&] { return has(kept->got, "ok"); }))
-        << "a kept connection to the host serves it";
+        << "an idle connection to the host serves it";
     setrlimit(RLIMIT_NOFILE, &before);
     EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
 }
@@ -288,7 +288,7 @@
     EXPECT_FALSE(b->over());
 }
 
-TEST(Hosts, NothingBeginsForAClientThatHasGoneWhileTheConnectionComesUp) {
+TEST(Hosts, NothingBeginsForAClientThatDisconnectsWhileTheConnectionIsPending) {
     test_support::LateHost late;
     Options o;
     o.hosts = 0, o.other_port = late.port(), o.connect_ms = 3000, o.deadline_ms = 3000;
--- a/tests/node/endings_test.cpp
+++ b/tests/node/endings_test.cpp
@@ -1,5 +1,5 @@
-// What is still owed when something ends: each bad order is made by lining things up before the
-// loop runs.
+// Clients, hosts and drains that end while requests are in flight. Each unfavourable order of
+// events is set up before the loop runs.
 #include <netinet/in.h>
 #include <sys/socket.h>
 
@@ -15,7 +15,7 @@
 std::string answer(std::uint64_t id) {
     return bulk("for " + hex(id));
 }
-// A client whose bytes, and end, are in the system before the node looks.
+// A client whose bytes, and end, are in the socket before the node reads.
 event::Fd raw(const TestNode& n, const std::string& bytes) {
     event::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in at{};
@@ -26,7 +26,7 @@
               static_cast<ssize_t>(bytes.size()));
     return fd;
 }
-std::string all_that_comes(int fd, bool& reset) {
+std::string receive_all(int fd, bool& reset) {
     std::string got;
     char buffer[4096];
     ssize_t n = 0;
@@ -37,14 +37,14 @@
 }
 }  // namespace
 
-TEST(ClientEnds, AnAttemptWhoseConnectionIsStillComingUpNeverBegins) {
+TEST(ClientEnds, AnAttemptWhoseConnectionIsPendingNeverBegins) {
     LateHost late;
     TestNode n({0, 256, 1000, 64, 3000, target(late)});
     {
         auto c = n.connect();
         c->stream.write(submit(1, "SHEET"));
         n.pass(50ms);
-    }  // gone before the connection stands
+    }  // disconnects before the connection is up
     n.pass(10ms);
     EXPECT_TRUE(n.run([&] { return late.bytes() > 0 || late.taken() > 0; }, 1800ms))
         << "it does come up";
@@ -52,7 +52,7 @@
     EXPECT_EQ(late.bytes(), 0u);
 }
 
-TEST(ClientEnds, ARequestWhoseClientHasGoneInTheSameMomentIsNotSentOn) {
+TEST(ClientEnds, ARequestWhoseClientDisconnectsInTheSameTurnIsNotForwarded) {
     TestNode n;
     { const event::Fd gone = raw(n, query(1) + query(2)); }
     n.pass(50ms);
@@ -60,7 +60,7 @@
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
 }
 
-TEST(ClientEnds, IsSeenBehindCommandsThatWaitForTheirTurn) {
+TEST(ClientEnds, ADisconnectIsDetectedBehindQueuedCommands) {
     TestNode n;
     n.hosts[0]->respond = [](Accepting::Peer&, const Words&) {};
     {
@@ -77,8 +77,8 @@
     EXPECT_EQ(n.talk(query(1), 5), bulk("later")) << "its id is free again";
 }
 
-TEST(ClientEnds, NoFurtherAttemptBeginsForOneThatHasGone) {
-    // The host's bad answer and the client's end lie in their sockets before the loop sees either.
+TEST(ClientEnds, NoRetryBeginsForADisconnectedClient) {
+    // The host's error and the client's end are in their sockets before the loop reads either.
     for (const bool end_first : {false, true}) {
         TestNode n({2});
         Accepting::Peer* host = nullptr;
@@ -94,7 +94,7 @@
     }
 }
 
-TEST(HostDrains, WhatHasNotGoneOutToItGoesToAnotherAtOnce) {
+TEST(HostDrains, UnsentAttemptsMoveToAnotherHostAtOnce) {
     LateHost late;
     TestNode n({0, 256, 1000, 64, 5000, target(late)});
     ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
@@ -109,17 +109,17 @@
     EXPECT_EQ(late.bytes(), 0u);
 }
 
-TEST(Endings, ALastLineReachesAClientWhoseBytesWereNotAllRead) {
+TEST(Endings, AnErrorLineReachesAClientWhoseBytesWereNotAllRead) {
     TestNode n;
     const event::Fd c = raw(n, "*x\r\n" + std::string(100'000, 'x'));
     n.pass(50ms);
     bool reset = false;
-    EXPECT_EQ(all_that_comes(c.get(), reset),
+    EXPECT_EQ(receive_all(c.get(), reset),
               "-ERR Protocol error: expected an array of bulk strings\r\n");
     EXPECT_FALSE(reset);
 }
 
-TEST(Endings, WhatComesAfterItsOwnEndIsReadAndNeverSentOn) {
+TEST(Endings, BytesAfterTheGatewaysEndAreReadAndNeverForwarded) {
     TestNode n;
     const event::Fd c = raw(n, "*x\r\n");
     n.pass(20ms);
@@ -128,20 +128,20 @@
               static_cast<ssize_t>(late.size()));
     n.pass(20ms);
     bool reset = false;
-    EXPECT_EQ(all_that_comes(c.get(), reset),
+    EXPECT_EQ(receive_all(c.get(), reset),
               "-ERR Protocol error: expected an array of bulk strings\r\n");
     EXPECT_FALSE(reset);
     EXPECT_EQ(n.commands(), 0u);
 }
 
-TEST(Endings, AClientThatSendsWithoutEndAfterItsErrorIsClosed) {
+TEST(Endings, AClientThatKeepsSendingAfterItsErrorIsClosed) {
     TestNode n;
     auto c = n.connect();
     c->stream.write("*x\r\n" + std::string(8'000'000, 'x'));
-    EXPECT_TRUE(n.run([&] { return c->broken; }, 4s)) << "not read for ever";
+    EXPECT_TRUE(n.run([&] { return c->broken; }, 4s)) << "it is not read without limit";
 }
 
-TEST(Endings, ClientsThatDoNotEndWhenTheyAreToDoNotKeepOthersOut) {
+TEST(Endings, LingeringClientsDoNotKeepOthersOut) {
     TestNode n({1, 64});
     std::vector<event::Fd> stay;
     for (int i = 0; i < 60; ++i) {
@@ -152,11 +152,11 @@
 }
 
 namespace {
-// A node whose host has a client's request and says nothing yet.
-struct OneInHand : TestNode {
+// A node whose host has received a client's request and not answered it.
+struct OneInFlight : TestNode {
     Accepting::Peer* host = nullptr;
     std::unique_ptr<Client> client = connect();
-    OneInHand() {
+    OneInFlight() {
         hosts[0]->respond = [this](Accepting::Peer& p, const Words&) { host = &p; };
         client->stream.write(submit(1, "SHEET"));
         EXPECT_TRUE(run([this] { return host != nullptr; }));
@@ -164,20 +164,20 @@
 };
 }  // namespace
 
-TEST(DrainEnds, ARequestInHandIsNeverLostToTheEndOfTheDrain) {
-    OneInHand n;
+TEST(DrainEnds, ARequestInFlightIsNeverLostToTheEndOfTheDrain) {
+    OneInFlight n;
     ASSERT_TRUE(n.host);
     bool done = false;
     n.node->drain(0ms, 100ms, [&] { done = true; });
     n.pass(250ms);
-    EXPECT_FALSE(done) << "it is still owed";
+    EXPECT_FALSE(done) << "its response is still due";
     n.host->stream.write(served("for " + hex(1)));
     EXPECT_TRUE(n.run([&] { return done; }, 2s));
     EXPECT_EQ(n.client->got, answer(1));
 }
 
-TEST(DrainEnds, WhatComesLateInItIsAnsweredBeforeItsEnd) {
-    OneInHand n;
+TEST(DrainEnds, LateRequestsAreAnsweredBeforeItsEnd) {
+    OneInFlight n;
     ASSERT_TRUE(n.host);
     n.node->drain(0ms, 400ms, [] {});
     n.pass(50ms);
@@ -190,7 +190,7 @@
     EXPECT_TRUE(n.client->got.starts_with(answer(1) + "-")) << n.client->got;
 }
 
-TEST(DrainEnds, AClientThatGoesOnSendingIsEndedToo) {
+TEST(DrainEnds, AClientThatKeepsSendingIsClosedToo) {
     TestNode n;
     auto c = n.connect();
     bool done = false;
@@ -209,8 +209,8 @@
 }
 
 namespace {
-// What a pool tells of its attempts.
-struct Ends : upstream_resp::AttemptCallbacks {
+// Records how attempts end.
+struct RecordedEnds : upstream_resp::AttemptCallbacks {
     std::vector<Outcome> outcomes;
     std::optional<Micros> begin_send(const core::AttemptKey&) override { return 1s; }
     void on_attempt_ended(const core::AttemptKey&, const std::string&, Micros,
@@ -221,10 +221,10 @@
 };
 }  // namespace
 
-TEST(HostEnds, ARequestThatMustNotBeRepeatedGoesOnNoConnectionThatHasRested) {
+TEST(HostEnds, ANonIdempotentRequestReusesNoConnectionIdleForLong) {
     test_support::OnLoop on;
     Host host(on.loop);
-    Ends ends;
+    RecordedEnds ends;
     upstream_resp::UpstreamLimits limits;
     limits.non_idempotent_reuse_limit = 300ms;
     upstream_resp::Upstream up(on.loop, limits, ends);
@@ -244,15 +244,15 @@
     EXPECT_EQ(send(1, false), 1u);
     EXPECT_EQ(send(2, false), 1u) << "used a moment ago";
     on.pass(400ms);
-    EXPECT_EQ(send(3, false), 2u) << "it has rested";
+    EXPECT_EQ(send(3, false), 2u) << "idle for longer than the limit";
     on.pass(400ms);
-    EXPECT_EQ(send(4, true), 2u) << "one that may be repeated uses what there is";
+    EXPECT_EQ(send(4, true), 2u) << "an idempotent one reuses it";
 }
 
-TEST(HostEnds, ALateConnectionServesTheNextAttempt) {
+TEST(HostEnds, APendingConnectionServesTheNextAttempt) {
     LateHost late;
     test_support::OnLoop on;
-    Ends ends;
+    RecordedEnds ends;
     upstream_resp::UpstreamLimits limits;
     limits.connect_timeout = 50ms;
     upstream_resp::Upstream up(on.loop, limits, ends);
@@ -267,14 +267,14 @@
     on.pass(20ms);
     up.send({2, 0}, "s-1", command);
     EXPECT_TRUE(on.run([&] { return late.bytes() > 0; }, 1s))
-        << "at once, on the one that was late";
+        << "at once, on the pending connection";
     EXPECT_EQ(up.stats().connections.opened, 1u);
 }
 
-TEST(HostEnds, WithoutRoomHereNoHostIsToBlame) {
+TEST(HostEnds, AtTheConnectionLimitAnAttemptEndsAsNotStarted) {
     LateHost late;
     test_support::OnLoop on;
-    Ends ends;
+    RecordedEnds ends;
     upstream_resp::UpstreamLimits limits;
     limits.max_connections = 1;
     upstream_resp::Upstream up(on.loop, limits, ends);
@@ -284,5 +284,5 @@
     up.send({2, 0}, "s-1", command);
     EXPECT_EQ(ends.outcomes, std::vector<Outcome>{Outcome::not_started}) << "nothing was tried";
     up.send({3, 0}, "s-none", command);
-    EXPECT_EQ(ends.outcomes.back(), Outcome::connect_failed) << "nobody knows where it is";
+    EXPECT_EQ(ends.outcomes.back(), Outcome::connect_failed) << "its address is unknown";
 }
--- /dev/null
+++ b/tests/upstream/common/connection_pool_test.cpp
@@ -0,0 +1,199 @@
+// The pool that both protocols share, with connections of a protocol that writes nothing, over
+// loopback.
+#include "upstream/common/connection_pool.h"
+
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include "event/listener.h"
+#include "tests/support/loop.h"
+
+using namespace silverreach;
+using namespace silverreach::upstream;
+using namespace std::chrono_literals;
+using State = PooledConnection::State;
+
+namespace {
+class FakeConnection : public PooledConnection {
+  public:
+    using PooledConnection::PooledConnection;
+    void begin() { begin_exchange({1, 0}); }
+    void end() { end_exchange(); }
+
+  private:
+    void on_ready() override { mark_request_written(); }
+    void on_response_bytes(std::string_view) override { mark_response_started(); }
+    void on_remote_close() override {}
+    void on_exchange_broken(int) override {}
+};
+
+// A host that accepts and keeps connections.
+struct FakeHost {
+    std::vector<event::Fd> accepted;
+    event::Listener listener;
+    explicit FakeHost(event::Loop& loop)
+        : listener(
+              loop, "127.0.0.1", 0, false, [] { return true; },
+              [this](event::Fd fd, std::string) { accepted.push_back(std::move(fd)); }) {}
+    config::Endpoint address() const {
+        return *config::parse_endpoint("127.0.0.1:" + std::to_string(listener.port()));
+    }
+    HostUpdate update(const std::string& name, bool available = true) const {
+        return {name, available, address()};
+    }
+};
+
+struct ConnectionPoolTest : test_support::OnLoop, testing::Test {
+    FakeHost host{loop};
+    PoolPolicy policy;
+    std::unique_ptr<ConnectionPool> pool;
+
+    ConnectionPoolTest() {
+        policy.idle_timeout = 10s;
+        policy.pending_timeout = 10s;
+        policy.sweep_interval = 20ms;
+    }
+    void start() {
+        pool = std::make_unique<ConnectionPool>(
+            loop, policy, [this](HostConnections& connections, event::Fd fd) {
+                return std::make_unique<FakeConnection>(loop, *pool, connections, std::move(fd));
+            });
+        pool->update_hosts(true, {host.update("a"), host.update("b"), host.update("c")});
+    }
+    FakeConnection* acquire(const std::string& name, const ExchangeTraits& traits = {}) {
+        const auto acquired = pool->acquire(name, traits);
+        const auto* connection = std::get_if<PooledConnection*>(&acquired);
+        return connection ? static_cast<FakeConnection*>(*connection) : nullptr;
+    }
+    // An exchange on a connection that is up.
+    FakeConnection* begin(const std::string& name) {
+        FakeConnection* connection = acquire(name);
+        connection->begin();
+        EXPECT_TRUE(run([&] { return connection->connected(); }));
+        return connection;
+    }
+    void end(FakeConnection* connection, bool reusable = true) {
+        connection->end();
+        pool->release(*connection, reusable);
+    }
+    AcquireError error_of(const std::string& name, const ExchangeTraits& traits = {}) {
+        return std::get<AcquireError>(pool->acquire(name, traits));
+    }
+};
+}  // namespace
+
+TEST_F(ConnectionPoolTest, StatesFollowAnExchange) {
+    start();
+    FakeConnection* connection = acquire("a");
+    ASSERT_TRUE(connection);
+    EXPECT_EQ(connection->state(), State::pending);
+    connection->begin();
+    EXPECT_EQ(connection->state(), State::connecting);
+    ASSERT_TRUE(run([&] { return connection->state() == State::awaiting_response; }));
+    ASSERT_TRUE(run([&] { return !host.accepted.empty(); }));
+    ASSERT_EQ(::write(host.accepted[0].get(), "x", 1), 1);
+    ASSERT_TRUE(run([&] { return connection->state() == State::receiving_body; }));
+    end(connection);
+    EXPECT_EQ(connection->state(), State::idle);
+    connection->retire();
+    EXPECT_EQ(connection->state(), State::closed);
+}
+
+TEST_F(ConnectionPoolTest, ReusesTheMostRecentlyUsedConnection) {
+    start();
+    FakeConnection* first = begin("a");
+    FakeConnection* second = begin("a");
+    end(second);
+    end(first);
+    EXPECT_EQ(acquire("a"), first);
+    EXPECT_EQ(acquire("a"), second);
+    EXPECT_EQ(pool->stats().reused, 2u);
+    EXPECT_EQ(pool->stats().opened, 2u);
+}
+
+TEST_F(ConnectionPoolTest, HostLimitHoldsForRequestsAndNotForHealthChecks) {
+    policy.max_in_use_per_host = 1;
+    start();
+    ASSERT_TRUE(acquire("a"));
+    EXPECT_EQ(error_of("a"), AcquireError::host_limit_reached);
+    EXPECT_TRUE(acquire("b")) << "a limit of each host";
+    EXPECT_TRUE(acquire("a", {.idempotent = true, .health_check = true}));
+}
+
+TEST_F(ConnectionPoolTest, PoolLimitEvictsTheConnectionThatHasBeenIdleLongest) {
+    policy.max_connections = 2;
+    start();
+    FakeConnection* older = begin("a");
+    FakeConnection* newer = begin("b");
+    end(older);
+    pass(5ms);
+    end(newer);
+    EXPECT_TRUE(acquire("c"));
+    EXPECT_EQ(older->state(), State::closed);
+    EXPECT_EQ(acquire("b"), newer) << "it was not evicted";
+    EXPECT_EQ(error_of("a"), AcquireError::pool_limit_reached) << "all are in use";
+    EXPECT_EQ(pool->stats().full, 1u);
+    EXPECT_EQ(pool->stats().open, 2u);
+}
+
+TEST_F(ConnectionPoolTest, UnknownHostsHaveNoConnections) {
+    start();
+    EXPECT_EQ(error_of("d"), AcquireError::unknown_host);
+    pool->add_host("d", std::nullopt);
+    EXPECT_EQ(error_of("d"), AcquireError::unknown_host);
+}
+
+TEST_F(ConnectionPoolTest, UnlistedHostsKeepOnlyConnectionsInUse) {
+    start();
+    FakeConnection* idle = begin("a");
+    FakeConnection* in_use = begin("a");
+    end(idle);
+    pool->update_hosts(true, {host.update("b")});
+    EXPECT_EQ(pool->stats().open, 1u);
+    EXPECT_EQ(pool->stats().hosts, 3u);
+    end(in_use);
+    EXPECT_EQ(pool->stats().open, 0u) << "closed with its exchange";
+    EXPECT_TRUE(run([&] { return pool->stats().hosts == 1; })) << "the host is forgotten";
+}
+
+TEST_F(ConnectionPoolTest, IdleConnectionsAreClosedAtTheirTimeout) {
+    policy.idle_timeout = 50ms;
+    start();
+    end(begin("a"));
+    EXPECT_FALSE(run([&] { return pool->stats().open == 0; }, 30ms));
+    EXPECT_TRUE(run([&] { return pool->stats().open == 0; }, 1s));
+}
+
+TEST_F(ConnectionPoolTest, NonIdempotentRequestsReuseOnlyRecentConnections) {
+    policy.non_idempotent_reuse_limit = 20ms;
+    start();
+    FakeConnection* rested = begin("a");
+    end(rested);
+    pass(30ms);
+    EXPECT_NE(acquire("a", {.idempotent = false}), rested);
+    EXPECT_EQ(acquire("a"), rested);
+}
+
+TEST_F(ConnectionPoolTest, ConnectionsClosedByTheirHostAreDropped) {
+    start();
+    end(begin("a"));
+    ASSERT_TRUE(run([&] { return host.accepted.size() == 1; }));
+    host.accepted.clear();
+    EXPECT_TRUE(run([&] { return pool->stats().open == 0; }));
+    EXPECT_EQ(pool->stats().stale, 1u);
+}
+
+TEST_F(ConnectionPoolTest, KeepsConnectionsWhoseHandshakeOutlastsTheExchange) {
+    policy.max_pending_per_host = 1;
+    start();
+    FakeConnection* kept = acquire("a");
+    FakeConnection* dropped = acquire("a");
+    kept->begin();
+    dropped->begin();
+    end(kept);
+    end(dropped);
+    EXPECT_EQ(kept->state(), State::pending);
+    EXPECT_EQ(dropped->state(), State::closed);
+    ASSERT_TRUE(run([&] { return kept->state() == State::idle; }));
+    EXPECT_EQ(acquire("a"), kept);
+}
