--- a/tests/gateway/host_test.cpp
+++ b/tests/gateway/host_test.cpp
@@ -134,7 +134,7 @@
     } early;
     event::Listener listener(
         g.loop, "127.0.0.1", 0, false, [] { return true; },
-        [&](event::Fd fd, std::string) {
+        [&](event::Fd fd, const std::string&) {
             early.stream = std::make_unique<event::Stream>(g.loop, std::move(fd), early);
         });
     g.write(
@@ -142,7 +142,7 @@
         R"({"clusterName":"hosts","endpoints":[{"lbEndpoints":[{"endpoint":{"address":{"socketAddress":{"address":"127.0.0.1","portValue":)" +
             std::to_string(listener.port()) + "}}}}]}]}");
     g.run([] { return false; }, 600ms);
-    const std::string body(20 * 1024 * 1024, 'x');
+    const std::string body(std::size_t{20} * 1024 * 1024, 'x');
     const std::string answer =
         g.talk("PUT /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: " +
                std::to_string(body.size()) + "\r\n\r\n" + body);
@@ -221,7 +221,7 @@
     for (int i = 0; i < 10; ++i)
         EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
     EXPECT_EQ(g.hosts[0]->requests.size(), 10u);
-    g.write("hosts.json", "{\"clusterName\":\"hosts\",\"endpoints\":[{\"lbEndpoints\":[{}]}]}");
+    g.write("hosts.json", R"({"clusterName":"hosts","endpoints":[{"lbEndpoints":[{}]}]})");
     g.run([] { return false; }, 600ms);
     EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200) << "the last good list stays";
 }
--- a/tests/node/endings_test.cpp
+++ b/tests/node/endings_test.cpp
@@ -3,6 +3,8 @@
 #include <netinet/in.h>
 #include <sys/socket.h>
 
+#include <array>
+
 #include "tests/node/rig.h"
 
 using namespace node_test;
@@ -28,10 +30,10 @@
 }
 std::string receive_all(int fd, bool& reset) {
     std::string got;
-    char buffer[4096];
+    std::array<char, 4096> buffer{};
     ssize_t n = 0;
-    while ((n = ::recv(fd, buffer, sizeof buffer, MSG_DONTWAIT)) > 0)
-        got.append(buffer, static_cast<std::size_t>(n));
+    while ((n = ::recv(fd, buffer.data(), buffer.size(), MSG_DONTWAIT)) > 0)
+        got.append(buffer.data(), static_cast<std::size_t>(n));
     reset = n < 0 && errno == ECONNRESET;
     return got;
 }
--- a/tests/support/late_host.h
+++ b/tests/support/late_host.h
@@ -8,6 +8,7 @@
 #include <sys/socket.h>
 
 #include <algorithm>
+#include <array>
 #include <string>
 #include <vector>
 
@@ -44,10 +45,10 @@
     // Number of bytes received on all of its connections.
     std::size_t bytes() {
         accept_pending();
-        char buffer[4096];
+        std::array<char, 4096> buffer{};
         for (const event::Fd& fd : accepted_)
-            for (ssize_t n; (n = ::recv(fd.get(), buffer, sizeof buffer, 0)) > 0;)
-                text_.append(buffer, static_cast<std::size_t>(n));
+            for (ssize_t n; (n = ::recv(fd.get(), buffer.data(), buffer.size(), 0)) > 0;)
+                text_.append(buffer.data(), static_cast<std::size_t>(n));
         return text_.size();
     }
     const std::string& text() const { return text_; }  // as of the latest bytes()
--- a/tests/upstream/common/connection_pool_test.cpp
+++ b/tests/upstream/common/connection_pool_test.cpp
@@ -34,7 +34,7 @@
     explicit FakeHost(event::Loop& loop)
         : listener(
               loop, "127.0.0.1", 0, false, [] { return true; },
-              [this](event::Fd fd, std::string) { accepted.push_back(std::move(fd)); }) {}
+              [this](event::Fd fd, const std::string&) { accepted.push_back(std::move(fd)); }) {}
     config::Endpoint address() const {
         return *config::parse_endpoint("127.0.0.1:" + std::to_string(listener.port()));
     }
@@ -60,7 +60,7 @@
             });
         pool->update_hosts(true, {host.update("a"), host.update("b"), host.update("c")});
     }
-    FakeConnection* acquire(const std::string& name, const ExchangeTraits& traits = {}) {
+    FakeConnection* acquire(const std::string& name, const ExchangeTraits& traits = {}) const {
         const auto acquired = pool->acquire(name, traits);
         const auto* connection = std::get_if<PooledConnection*>(&acquired);
         return connection ? static_cast<FakeConnection*>(*connection) : nullptr;
@@ -72,11 +72,11 @@
         EXPECT_TRUE(run([&] { return connection->connected(); }));
         return connection;
     }
-    void end(FakeConnection* connection, bool reusable = true) {
+    void end(FakeConnection* connection, bool reusable = true) const {
         connection->end();
         pool->release(*connection, reusable);
     }
-    AcquireError error_of(const std::string& name, const ExchangeTraits& traits = {}) {
+    AcquireError error_of(const std::string& name, const ExchangeTraits& traits = {}) const {
         return std::get<AcquireError>(pool->acquire(name, traits));
     }
 };
