--- a/src/frontend/http/client_request.cpp
+++ b/src/frontend/http/client_request.cpp
@@ -14,7 +14,7 @@
     request->client.minor = request->head.minor;
     request->client.head_method = request->head.method == "HEAD";
     request->client.keep_alive = request->head.keep_alive;
-    request->client.accepts_trailers = wire::lists(request->head.fields, "TE", "trailers");
+    request->client.accepts_trailers = wire::list_contains(request->head.fields, "TE", "trailers");
     request->identity = identify_request(request->head, context.random);
     request->description = context.callbacks.description();
     return request;
--- a/src/frontend/http/message_translation.cpp
+++ b/src/frontend/http/message_translation.cpp
@@ -66,11 +66,12 @@
 RequestIdentity identify_request(const wire::Head& head, event::SystemRandom& random) {
     RequestIdentity identity;
     const std::string* id = wire::find(head.fields, "X-Request-Id");
-    identity.request_id =
-        id && wire::sound_request_id(*id) ? *id : fmt::format("{:016x}{:016x}", random(), random());
+    identity.request_id = id && wire::is_valid_request_id(*id)
+                              ? *id
+                              : fmt::format("{:016x}{:016x}", random(), random());
     const std::string* trace = wire::find(head.fields, "traceparent");
     identity.traceparent =
-        trace && wire::sound_traceparent(*trace)
+        trace && wire::is_valid_traceparent(*trace)
             ? *trace
             : fmt::format("00-{:016x}{:016x}-{:016x}-00", random(), random() | 1, random() | 1);
     return identity;
@@ -88,7 +89,7 @@
     out.append(head.method).append(" ").append(path).append(" HTTP/1.1\r\n");
     const std::string* host = wire::find(head.fields, "Host");
     append_field(out, "Host", host ? *host : "");
-    append_end_to_end(out, head.fields, wire::connection_words(head.fields), dropped);
+    append_end_to_end(out, head.fields, wire::connection_options(head.fields), dropped);
     if (body_bytes > 0 || head.chunked || head.has_length)
         append_field(out, "Content-Length", fmt::format_int(body_bytes).c_str());
     append_via(out, head, via);
@@ -111,7 +112,7 @@
     out.reserve(usual_head_bytes);
     out += fmt::format("HTTP/1.1 {} {}\r\n", head.status, wire::reason_phrase(head.status));
     append_end_to_end(
-        out, head.fields, wire::connection_words(head.fields),
+        out, head.fields, wire::connection_options(head.fields),
         std::span(dropped).first(head.status == 204 ? dropped.size() : dropped.size() - 1));
     append_via(out, head, via);
     append_field(out, "X-Request-Id", request_id);
--- a/src/frontend/http/request_resolver.cpp
+++ b/src/frontend/http/request_resolver.cpp
@@ -46,9 +46,9 @@
 std::optional<RequestError> check_connection_field(const wire::Fields& fields) {
     constexpr std::array<std::string_view, 3> end_to_end{"Idempotency-Key", "Host",
                                                          "Content-Length"};
-    for (const std::string_view word : wire::connection_words(fields))
+    for (const std::string_view option : wire::connection_options(fields))
         for (const std::string_view name : end_to_end)
-            if (wire::same_name(word, name))
+            if (wire::same_name(option, name))
                 return bad_request("Bad Connection field",
                                    "it names a field that is meant for the host");
     return std::nullopt;
--- /dev/null
+++ b/src/http/chunk_validator.h
@@ -0,0 +1,79 @@
+// Checks a chunked body against the grammar of RFC 9112, section 7.1. No I/O.
+#pragma once
+
+#include <cstdint>
+#include <string_view>
+
+namespace silverreach::http {
+
+enum class ChunkError {
+    none,
+    size_not_hexadecimal,
+    size_too_large,
+    size_not_ended,  // neither by CR LF nor by an extension
+    size_without_crlf,
+    extension_without_name,
+    extension_without_value,
+    extension_without_crlf,
+    extension_control_character,
+    extensions_too_long,
+    data_without_crlf,
+    trailer_without_name,
+    trailer_without_colon,
+    trailer_without_crlf,
+    trailer_control_character,
+    trailers_too_long,
+    body_without_crlf
+};
+// For the client.
+std::string_view to_string(ChunkError error);
+
+// Reads a body byte by byte, in pieces of any size. It is stricter than http-parser, as what one
+// program tolerates another one in the path may read as the next message; white space around ";"
+// and "=", which the grammar allows and nobody sends, is an error too.
+class ChunkValidator {
+  public:
+    // Reads bytes up to the body's end or the first that is wrong, and returns what is wrong.
+    ChunkError validate(std::string_view bytes);
+    bool done() const { return state_ == State::done; }
+
+  private:
+    // In the order of a body. The names say what is expected next.
+    enum class State {
+        size_start,
+        size,
+        extension_start,  // after ";"
+        extension_name,
+        value_start,  // after "="
+        value,
+        quoted_value,
+        escaped_character,
+        quote_closed,
+        size_lf,
+        data,
+        data_cr,
+        data_lf,
+        trailer_start,
+        trailer_name,
+        trailer_value,
+        trailer_lf,
+        end_lf,
+        done
+    };
+    ChunkError go(State next);
+    ChunkError read_byte(unsigned char byte);
+    ChunkError read_size(unsigned char byte);
+    ChunkError read_extension(unsigned char byte);
+    ChunkError read_line_end(unsigned char byte);
+    ChunkError read_trailer(unsigned char byte);
+    bool in_extension() const;
+    bool in_trailers() const;
+
+    State state_ = State::size_start;
+    std::uint64_t remaining_bytes_ = 0;  // of the chunk's data; its size while that is read
+    int size_digits_ = 0;
+    int extension_bytes_ = 0;  // of this chunk
+    int trailer_bytes_ = 0;    // of all trailers
+};
+
+}  // namespace silverreach::http
--- a/src/http/head.cpp
+++ b/src/http/head.cpp
@@ -7,12 +7,14 @@
 namespace silverreach::http {
 namespace {
 constexpr std::string_view digits = "0123456789";
-constexpr std::size_t most_length_digits = 15;
+constexpr std::size_t max_length_digits = 15;
+constexpr std::size_t max_response_fields = 256;
+constexpr std::size_t max_around_target = 40;  // bytes: method, version and spaces
 
 char lower(char c) {
     return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
 }
-bool token_char(char c) {
+bool is_token_char(char c) {
     return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'z') ||
            std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
 }
@@ -23,21 +25,47 @@
         text.remove_suffix(1);
     return text;
 }
-std::string_view next_word(std::string_view& list) {
+std::string_view next_element(std::string_view& list) {
     const std::size_t end = std::min(list.find(','), list.size());
-    const std::string_view word = trim(list.substr(0, end));
+    const std::string_view element = trim(list.substr(0, end));
     list.remove_prefix(std::min(end + 1, list.size()));
-    return word;
+    return element;
 }
 
 // What the field lines of a head say about its framing.
 struct Framing {
-    int lengths = 0, codings = 0, hosts = 0;
-    std::string_view length, coding, host;
+    int lengths = 0;
+    int codings = 0;
+    int hosts = 0;
+    std::string_view length;
+    std::string_view coding;
+    std::string_view host;
+
+    void add(std::string_view name, std::string_view value);
 };
 
-// Walks the field lines after the first line; `lines` ends with the empty line.
-std::optional<Fault> check_fields(std::string_view lines, std::size_t most, Framing& framing) {
+void Framing::add(std::string_view name, std::string_view value) {
+    if (same_name(name, "Content-Length")) {
+        ++lengths;
+        length = value;
+    } else if (same_name(name, "Transfer-Encoding")) {
+        ++codings;
+        coding = value;
+    } else if (same_name(name, "Host")) {
+        ++hosts;
+        host = value;
+    }
+}
+
+bool has_control_character(std::string_view value) {
+    return std::any_of(value.begin(), value.end(), [](char c) {
+        return (static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7F;
+    });
+}
+
+// Checks the field lines behind the first line; `lines` ends with the empty line.
+std::optional<Fault> check_fields(std::string_view lines, std::size_t max_fields,
+                                  Framing& framing) {
     std::size_t count = 0;
     while (true) {
         const std::size_t end = lines.find("\r\n");
@@ -45,38 +73,35 @@
         const std::string_view line = lines.substr(0, end);
         lines.remove_prefix(end + 2);
         if (line.empty()) return std::nullopt;
-        if (++count > most) return Fault{431, "too many fields"};
+        if (++count > max_fields) return Fault{431, "too many fields"};
         if (line.front() == ' ' || line.front() == '\t') return Fault{400, "a folded line"};
         const std::size_t colon = line.find(':');
         if (colon == std::string_view::npos) return Fault{400, "a field without a colon"};
         const std::string_view name = line.substr(0, colon);
-        if (!token(name)) return Fault{400, "a field name that is no token"};
+        if (!is_token(name)) return Fault{400, "a field name that is no token"};
         const std::string_view value = trim(line.substr(colon + 1));
-        for (const char c : value)
-            if ((static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7F)
-                return Fault{400, "a control character in a field"};
-        if (same_name(name, "Content-Length")) ++framing.lengths, framing.length = value;
-        if (same_name(name, "Transfer-Encoding")) ++framing.codings, framing.coding = value;
-        if (same_name(name, "Host")) ++framing.hosts, framing.host = value;
+        if (has_control_character(value)) return Fault{400, "a control character in a field"};
+        framing.add(name, value);
     }
 }
 
-std::optional<Fault> check_framing(const Framing& f, bool http_1_0) {
-    if (f.lengths > 1) return Fault{400, "Content-Length more than once"};
-    if (f.codings > 1) return Fault{400, "Transfer-Encoding more than once"};
-    if (f.lengths && f.codings) return Fault{400, "Content-Length beside Transfer-Encoding"};
-    if (f.lengths &&
-        (f.length.empty() || f.length.find_first_not_of(digits) != std::string_view::npos))
+std::optional<Fault> check_framing(const Framing& framing, bool http_1_0) {
+    if (framing.lengths > 1) return Fault{400, "Content-Length more than once"};
+    if (framing.codings > 1) return Fault{400, "Transfer-Encoding more than once"};
+    if (framing.lengths && framing.codings)
+        return Fault{400, "Content-Length beside Transfer-Encoding"};
+    if (framing.lengths && (framing.length.empty() ||
+                            framing.length.find_first_not_of(digits) != std::string_view::npos))
         return Fault{400, "a Content-Length that is not digits alone"};
-    if (f.length.size() > most_length_digits)
+    if (framing.length.size() > max_length_digits)
         return Fault{413, "a Content-Length beyond all limits"};
-    if (f.codings && http_1_0) return Fault{400, "Transfer-Encoding in HTTP/1.0"};
-    if (f.codings && !same_name(f.coding, "chunked"))
+    if (framing.codings && http_1_0) return Fault{400, "Transfer-Encoding in HTTP/1.0"};
+    if (framing.codings && !same_name(framing.coding, "chunked"))
         return Fault{501, "a transfer coding other than chunked"};
     return std::nullopt;
 }
 
-bool sound_host(std::string_view host) {
+bool is_valid_host(std::string_view host) {
     return std::all_of(host.begin(), host.end(), [](char c) {
         return c > 0x20 && c < 0x7F &&
                std::string_view("/\\?#@<>\"{}|^`,").find(c) == std::string_view::npos;
@@ -93,17 +118,17 @@
         if (same_name(f.name, name)) return &f.value;
     return nullptr;
 }
-bool lists(const Fields& fields, std::string_view name, std::string_view word) {
+bool list_contains(const Fields& fields, std::string_view name, std::string_view element) {
     for (const Field& f : fields) {
         if (!same_name(f.name, name)) continue;
         std::string_view list = f.value;
         while (!list.empty())
-            if (same_name(next_word(list), word)) return true;
+            if (same_name(next_element(list), element)) return true;
     }
     return false;
 }
-bool token(std::string_view text) {
-    return !text.empty() && std::all_of(text.begin(), text.end(), token_char);
+bool is_token(std::string_view text) {
+    return !text.empty() && std::all_of(text.begin(), text.end(), is_token_char);
 }
 
 std::size_t head_end(std::string_view bytes, std::size_t from) {
@@ -113,11 +138,10 @@
 
 std::optional<Fault> check_partial(std::string_view head, const HeadLimits& limits) {
     const std::size_t line = std::min(head.find("\r\n"), head.size());
-    constexpr std::size_t around_target = 40;  // method, version and spaces
-    if (line > limits.target + around_target) return Fault{414, "a target that is too long"};
+    if (line > limits.target + max_around_target) return Fault{414, "a target that is too long"};
     if (head.size() > limits.head) return Fault{431, "a head that is too long"};
-    // A bare LF is looked for early: such a client waits for an answer that the end of its head
-    // never brings.
+    // A bare LF is rejected early: such a client waits for a response, and the end of its head
+    // would never be found.
     for (std::size_t i = head.find('\n'); i != std::string_view::npos; i = head.find('\n', i + 1))
         if (i == 0 || head[i - 1] != '\r') return Fault{400, "a line that does not end with CR LF"};
     return std::nullopt;
@@ -128,13 +152,14 @@
     const std::string_view line = head.substr(0, end);
     if (line.find_first_of(std::string_view("\n\r\0", 3)) != std::string_view::npos)
         return Fault{400, "a control character in the request line"};
-    const std::size_t first = line.find(' '), last = line.rfind(' ');
+    const std::size_t first = line.find(' ');
+    const std::size_t last = line.rfind(' ');
     if (first == std::string_view::npos || first == last)
         return Fault{400, "a request line that is not whole"};
-    const std::string_view method = line.substr(0, first),
-                           target = line.substr(first + 1, last - first - 1);
+    const std::string_view method = line.substr(0, first);
+    const std::string_view target = line.substr(first + 1, last - first - 1);
     const std::string_view version = line.substr(last + 1);
-    if (!token(method)) return Fault{400, "a method that is no token"};
+    if (!is_token(method)) return Fault{400, "a method that is no token"};
     if (target.size() > limits.target) return Fault{414, "a target that is too long"};
     if (head.size() > limits.head) return Fault{431, "a head that is too long"};
     for (const char c : target)
@@ -150,7 +175,7 @@
     if (auto fault = check_framing(framing, http_1_0)) return fault;
     if (framing.hosts > 1 || (framing.hosts == 0 && !http_1_0))
         return Fault{400, "Host missing or more than once"};
-    if (!sound_host(framing.host)) return Fault{400, "a Host that is no host"};
+    if (!is_valid_host(framing.host)) return Fault{400, "a Host that is no host"};
     return std::nullopt;
 }
 
@@ -161,40 +186,39 @@
         head.substr(0, end).find_first_of(std::string_view("\n\r\0", 3)) != std::string_view::npos)
         return Fault{502, "a status line that is not whole"};
     Framing framing;
-    constexpr std::size_t most_fields = 256;
-    if (auto fault = check_fields(head.substr(end + 2), most_fields, framing))
+    if (auto fault = check_fields(head.substr(end + 2), max_response_fields, framing))
         return Fault{502, fault->why};
     if (auto fault = check_framing(framing, false)) return Fault{502, fault->why};
     return std::nullopt;
 }
 
-std::vector<std::string_view> connection_words(const Fields& fields) {
-    std::vector<std::string_view> words;
+std::vector<std::string_view> connection_options(const Fields& fields) {
+    std::vector<std::string_view> options;
     for (const Field& f : fields) {
         if (!same_name(f.name, "Connection")) continue;
         std::string_view list = f.value;
         while (!list.empty())
-            words.push_back(next_word(list));
+            options.push_back(next_element(list));
     }
-    return words;
+    return options;
 }
-bool hop_by_hop(const std::vector<std::string_view>& connection, std::string_view name) {
+bool hop_by_hop(const std::vector<std::string_view>& connection_options, std::string_view name) {
     static constexpr std::array<std::string_view, 10> always = {
         "Connection",        "Keep-Alive",        "Proxy-Connection", "TE",
         "Transfer-Encoding", "Trailer",           "Upgrade",          "Proxy-Authorization",
         "HTTP2-Settings",    "Proxy-Authenticate"};
     const auto is = [&](std::string_view other) { return same_name(name, other); };
     return std::any_of(always.begin(), always.end(), is) ||
-           std::any_of(connection.begin(), connection.end(), is);
+           std::any_of(connection_options.begin(), connection_options.end(), is);
 }
 
-bool sound_request_id(std::string_view text) {
+bool is_valid_request_id(std::string_view text) {
     return !text.empty() && text.size() <= 64 && std::all_of(text.begin(), text.end(), [](char c) {
         return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'z') || c == '.' ||
                c == '_' || c == '-';
     });
 }
-bool sound_traceparent(std::string_view t) {
+bool is_valid_traceparent(std::string_view t) {
     const auto hex = [&](std::size_t from, std::size_t n) {
         bool zero = true;
         for (std::size_t i = from; i < from + n; ++i) {
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -1,155 +1,192 @@
 #include "http/parser.h"
 
+#include <algorithm>
 #include <utility>
 
 namespace silverreach::http {
+namespace {
+Parser& self_of(http_parser* parser) {
+    return *static_cast<Parser*>(parser->data);
+}
+}  // namespace
 
 Parser::Parser(Kind kind, Events& events, HeadLimits limits)
     : events_(events), limits_(limits), kind_(kind) {
-    http_parser_init(&parser_, kind == Kind::request ? HTTP_REQUEST : HTTP_RESPONSE);
+    http_parser_init(&parser_, is_request() ? HTTP_REQUEST : HTTP_RESPONSE);
     parser_.data = this;
 }
 
 http_parser_settings Parser::callbacks() {
-    http_parser_settings s;
-    http_parser_settings_init(&s);
-    s.on_url = [](http_parser* p, const char* at, size_t n) {
-        static_cast<Parser*>(p->data)->head_.target.append(at, n);
+    http_parser_settings settings;
+    http_parser_settings_init(&settings);
+    settings.on_url = [](http_parser* parser, const char* at, size_t size) {
+        self_of(parser).head_.target.append(at, size);
         return 0;
     };
-    s.on_header_field = [](http_parser* p, const char* at, size_t n) {
-        auto& self = *static_cast<Parser*>(p->data);
-        Fields& into = self.in_trailers_ ? self.trailers_ : self.head_.fields;
-        if (std::exchange(self.last_was_value_, false)) into.emplace_back();
-        into.back().name.append(at, n);
+    settings.on_header_field = [](http_parser* parser, const char* at, size_t size) {
+        Parser& self = self_of(parser);
+        Fields& fields = self.current_fields();
+        if (std::exchange(self.last_was_value_, false)) fields.emplace_back();
+        fields.back().name.append(at, size);
         return 0;
     };
-    s.on_header_value = [](http_parser* p, const char* at, size_t n) {
-        auto& self = *static_cast<Parser*>(p->data);
+    settings.on_header_value = [](http_parser* parser, const char* at, size_t size) {
+        Parser& self = self_of(parser);
         self.last_was_value_ = true;
-        (self.in_trailers_ ? self.trailers_ : self.head_.fields).back().value.append(at, n);
+        self.current_fields().back().value.append(at, size);
         return 0;
     };
-    s.on_headers_complete = [](http_parser* p) {
-        return static_cast<Parser*>(p->data)->head_complete();
+    settings.on_headers_complete = [](http_parser* parser) {
+        return self_of(parser).on_headers_complete();
     };
-    s.on_body = [](http_parser* p, const char* at, size_t n) {
-        static_cast<Parser*>(p->data)->events_.on_body({at, n});
+    settings.on_body = [](http_parser* parser, const char* at, size_t size) {
+        self_of(parser).events_.on_body({at, size});
         return 0;
     };
-    s.on_message_complete = [](http_parser* p) {
-        auto& self = *static_cast<Parser*>(p->data);
-        http_parser_pause(p, 1);
-        if (self.informational_) return 0;
-        self.done_ = true;
-        self.events_.on_message_end(self.trailers_);
-        return 0;
+    settings.on_message_complete = [](http_parser* parser) {
+        return self_of(parser).on_message_complete();
     };
-    return s;
+    return settings;
 }
 
-int Parser::head_complete() {
-    head_.request = kind_ == Kind::request;
+int Parser::fault_status() const {
+    return is_request() ? 400 : 502;
+}
+
+// Returns what http-parser expects: 1 for a message without a body, -1 to stop.
+int Parser::on_headers_complete() {
+    head_.request = is_request();
     head_.minor = parser_.http_minor;
     head_.status = static_cast<int>(parser_.status_code);
     head_.keep_alive = http_should_keep_alive(&parser_) != 0;
     head_.chunked = (parser_.flags & F_CHUNKED) != 0;
     head_.has_length = (parser_.flags & F_CONTENTLENGTH) != 0;
     head_.length = head_.has_length ? parser_.content_length : 0;
-    in_trailers_ = true, last_was_value_ = true;
-    informational_ = kind_ == Kind::response && head_.status >= 100 && head_.status < 200;
-    if (informational_) return 1;  // passed over; the answer proper follows
+    in_trailers_ = true;
+    last_was_value_ = true;
+    informational_ = !is_request() && head_.status >= 100 && head_.status < 200;
+    if (informational_) return 1;
     const bool no_body = to_head_ || head_.status == 204 || head_.status == 304;
-    head_.until_close = kind_ == Kind::response && !no_body && !head_.chunked && !head_.has_length;
+    head_.until_close = !is_request() && !no_body && !head_.chunked && !head_.has_length;
     if (head_.until_close) head_.keep_alive = false;
-    if (!events_.on_head(head_)) return dead_ = true, -1;
-    return kind_ == Kind::response && no_body ? 1 : 0;
+    if (!events_.on_head(head_)) {
+        state_ = State::failed;
+        return -1;
+    }
+    return !is_request() && no_body ? 1 : 0;
+}
+
+int Parser::on_message_complete() {
+    http_parser_pause(&parser_, 1);
+    if (informational_) return 0;
+    state_ = State::complete;
+    events_.on_message_end(trailers_);
+    return 0;
 }
 
 std::size_t Parser::feed(std::string_view bytes) {
-    std::size_t taken = 0;
-    while (!dead_ && !done_ && taken < bytes.size()) {
-        if (in_message_) {
-            // The guard first: not a byte of a body goes on that is not chunked as the grammar has
-            // it.
-            if (head_.chunked)
-                if (auto f =
-                        chunks_.look(bytes.substr(taken), kind_ == Kind::request ? 400 : 502)) {
-                    fault(*f);
-                    continue;
-                }
-            taken += execute(bytes.substr(taken));
-            continue;
-        }
-        const std::size_t from = kept_.size();
-        // No more is kept than a head may have, whatever comes in one piece.
-        const std::string_view piece =
-            bytes.substr(taken, limits_.head + 1 - std::min(limits_.head, from));
-        kept_.append(piece);
-        std::size_t empty_lines = 0;  // RFC 9112 2.2: before a request they are passed over
-        while (kind_ == Kind::request &&
-               std::string_view(kept_).substr(empty_lines).starts_with("\r\n"))
-            empty_lines += 2;
-        kept_.erase(0, empty_lines);
-        const std::size_t end = head_end(kept_, from - std::min(from, empty_lines));
-        if (end == std::string::npos) {
-            taken += piece.size();
-            if (auto f = check_partial(kept_, limits_)) fault(*f);
-            continue;
-        }
-        taken += end + empty_lines - from;
-        std::string head = std::exchange(kept_, {}).substr(0, end);
-        if (auto f = kind_ == Kind::request ? check_request(head, limits_) : check_response(head)) {
-            fault(*f);
-            continue;
-        }
-        head_ = Head{}, chunks_ = ChunkGuard{};
-        if (kind_ == Kind::request) {
-            // http-parser knows some methods, and changes its ways for CONNECT; which are fit is
-            // not its to say.
-            head_.method = head.substr(0, head.find(' '));
-            head.replace(0, head_.method.size(), "POST");
+    std::size_t consumed = 0;
+    while (consumed < bytes.size()) {
+        const std::string_view rest = bytes.substr(consumed);
+        if (state_ == State::reading_head)
+            consumed += feed_head(rest);
+        else if (state_ == State::reading_message)
+            consumed += feed_message(rest);
+        else
+            break;
+    }
+    return consumed;
+}
+
+std::size_t Parser::feed_message(std::string_view bytes) {
+    // Validated first: no byte of an invalid chunked body is passed on.
+    if (head_.chunked) {
+        const ChunkError error = chunks_.validate(bytes);
+        if (error != ChunkError::none) {
+            fail({fault_status(), to_string(error)});
+            return 0;
         }
-        trailers_.clear();
-        in_trailers_ = false, last_was_value_ = true, in_message_ = true, informational_ = false;
-        execute(head);
-        if (informational_) next();
     }
-    return taken;
+    return execute(bytes);
+}
+
+std::size_t Parser::feed_head(std::string_view bytes) {
+    const std::size_t before = buffered_.size();
+    // No more is buffered than a head may have, however large the piece.
+    const std::string_view piece =
+        bytes.substr(0, limits_.head + 1 - std::min(limits_.head, before));
+    buffered_.append(piece);
+    std::size_t empty_lines = 0;  // bytes; RFC 9112 2.2: ignored before a request
+    while (is_request() && std::string_view(buffered_).substr(empty_lines).starts_with("\r\n"))
+        empty_lines += 2;
+    buffered_.erase(0, empty_lines);
+    const std::size_t end = head_end(buffered_, before - std::min(before, empty_lines));
+    if (end == std::string::npos) {
+        if (auto fault = check_partial(buffered_, limits_)) fail(*fault);
+        return piece.size();
+    }
+    std::string head = std::exchange(buffered_, {}).substr(0, end);
+    const std::size_t consumed = end + empty_lines - before;
+    const auto fault = is_request() ? check_request(head, limits_) : check_response(head);
+    if (fault)
+        fail(*fault);
+    else
+        begin_message(std::move(head));
+    return consumed;
+}
+
+void Parser::begin_message(std::string head) {
+    head_ = Head{};
+    chunks_ = ChunkValidator{};
+    if (is_request()) {
+        // http-parser accepts some methods only, and treats CONNECT differently; which methods are
+        // valid is for the owner to decide.
+        head_.method = head.substr(0, head.find(' '));
+        head.replace(0, head_.method.size(), "POST");
+    }
+    trailers_.clear();
+    in_trailers_ = false;
+    last_was_value_ = true;
+    informational_ = false;
+    state_ = State::reading_message;
+    execute(head);
+    if (informational_) next();
 }
 
 std::size_t Parser::execute(std::string_view bytes) {
     static const http_parser_settings settings = callbacks();
-    const std::size_t n = http_parser_execute(&parser_, &settings, bytes.data(), bytes.size());
+    const std::size_t consumed =
+        http_parser_execute(&parser_, &settings, bytes.data(), bytes.size());
     const auto error = HTTP_PARSER_ERRNO(&parser_);
-    if (dead_) return bytes.size();
+    if (state_ == State::failed) return bytes.size();
     if (error == HPE_PAUSED) {
         http_parser_pause(&parser_, 0);
-        return n;
+        return consumed;
     }
-    if (error != HPE_OK) fault({kind_ == Kind::request ? 400 : 502, http_errno_description(error)});
-    return n;
+    if (error != HPE_OK) fail({fault_status(), http_errno_description(error)});
+    return consumed;
 }
 
 void Parser::finish() {
-    if (dead_ || done_) return;
-    if (in_message_ && head_.until_close) {
+    if (state_ == State::failed || state_ == State::complete) return;
+    if (state_ == State::reading_message && head_.until_close) {
         execute({});
         return;
     }
-    if (!idle()) fault({400, "the connection ended within a message"});
+    if (!idle()) fail({400, "the connection ended within a message"});
 }
 
 void Parser::next() {
-    done_ = in_message_ = dead_ = false;
-    kept_.clear();
-    http_parser_init(&parser_, kind_ == Kind::request ? HTTP_REQUEST : HTTP_RESPONSE);
+    state_ = State::reading_head;
+    buffered_.clear();
+    http_parser_init(&parser_, is_request() ? HTTP_REQUEST : HTTP_RESPONSE);
     parser_.data = this;
 }
 
-void Parser::fault(const Fault& f) {
-    if (std::exchange(dead_, true)) return;
-    events_.on_fault(f);
+void Parser::fail(const Fault& fault) {
+    if (state_ == State::failed) return;
+    state_ = State::failed;
+    events_.on_fault(fault);
 }
 
 }  // namespace silverreach::http
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -1,5 +1,5 @@
-// One HTTP/1.1 message after another from a stream of bytes, on http-parser. Heads are held back
-// until whole and judged by head.h first. No I/O.
+// Parses one HTTP/1.1 message after another from a stream of bytes, on http-parser. Heads are
+// buffered until complete and checked by head.h first. No I/O.
 #pragma once
 
 #include <http_parser.h>
@@ -7,71 +7,91 @@
 #include <string>
 #include <string_view>
 
-#include "http/chunks.h"
+#include "http/chunk_validator.h"
 #include "http/head.h"
 
 namespace silverreach::http {
 
 struct Head {
     bool request = true;
-    std::string method, target;  // of a request
-    int status = 0;              // of an answer
-    int minor = 1;               // HTTP/1.x
+    std::string method;  // of a request
+    std::string target;  // of a request
+    int status = 0;      // of a response
+    int minor = 1;       // HTTP/1.x
     Fields fields;
     bool keep_alive = true;
     bool chunked = false;
     bool has_length = false;
-    std::uint64_t length = 0;
-    bool until_close = false;  // an answer that ends with its connection
+    std::uint64_t length = 0;  // bytes, of Content-Length
+    bool until_close = false;  // a response that ends with its connection
 };
 
+// States:   reading_head -> reading_message -> complete,   any -> failed;   next() begins again
 class Parser {
   public:
     enum class Kind {
         request,
         response
     };
+    // Called from within feed and finish, which the owner must not call from here.
     struct Events {
         virtual ~Events() = default;
-        // A whole head. Returns false to stop the parser there (an error that the owner has
-        // answered).
+        // A complete head, which may be moved from. Returns false to fail the parser (the owner has
+        // answered the request).
         virtual bool on_head(Head& head) = 0;
         virtual void on_body(std::string_view bytes) = 0;
         virtual void on_message_end(Fields& trailers) = 0;
         virtual void on_fault(const Fault& fault) = 0;  // nothing further is read
     };
+    // `events` must outlive the parser.
     Parser(Kind kind, Events& events, HeadLimits limits = {});
 
-    // Takes bytes up to the end of one message; returns how many were taken. Bytes of a head that
-    // is not whole yet are kept here. After a message's end call next() before feeding more.
+    // Reads bytes up to the end of one message and returns how many were consumed. An incomplete
+    // head is buffered here. After a message's end call next() before feeding more.
     std::size_t feed(std::string_view bytes);
-    void finish();  // the stream ended: ends an answer that ends so, else a fault if a message is
-                    // under way
-    void next();    // ready for another message, whatever was before
-    void answer_to_head(bool yes) { to_head_ = yes; }  // the next answer has no body
+    // The stream has ended: completes a response that ends so; within any other message it is a
+    // fault.
+    void finish();
+    void next();  // another message begins, in whatever state
+    // The next response answers a HEAD request and has no body.
+    void answer_to_head(bool yes) { to_head_ = yes; }
 
-    bool idle() const {
-        return !in_message_ && kept_.empty();
-    }  // between messages, not a byte of the next
-    bool done() const { return done_; }
+    // Between messages, without a byte of the next.
+    bool idle() const { return state_ == State::reading_head && buffered_.empty(); }
+    bool done() const { return state_ == State::complete; }
 
   private:
+    enum class State {
+        reading_head,
+        reading_message,  // its head is complete
+        complete,
+        failed
+    };
     static http_parser_settings callbacks();
-    int head_complete();
-    void fault(const Fault& f);
+    bool is_request() const { return kind_ == Kind::request; }
+    int fault_status() const;
+    int on_headers_complete();
+    int on_message_complete();
+    Fields& current_fields() { return in_trailers_ ? trailers_ : head_.fields; }
+    std::size_t feed_head(std::string_view bytes);
+    std::size_t feed_message(std::string_view bytes);
+    void begin_message(std::string head);
     std::size_t execute(std::string_view bytes);
+    void fail(const Fault& fault);
 
     http_parser parser_{};
     Events& events_;
     HeadLimits limits_;
     Kind kind_;
-    std::string kept_;  // the head so far
+    State state_ = State::reading_head;
+    std::string buffered_;  // the head so far
     Head head_;
-    ChunkGuard chunks_;
+    ChunkValidator chunks_;
     Fields trailers_;
-    bool last_was_value_ = true, in_message_ = false, in_trailers_ = false, done_ = false,
-         dead_ = false;
-    bool to_head_ = false, informational_ = false;
+    bool last_was_value_ = true;
+    bool in_trailers_ = false;
+    bool to_head_ = false;
+    bool informational_ = false;  // a 1xx, which is passed over
 };
 
 }  // namespace silverreach::http
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -86,14 +86,14 @@
 }
 
 TEST(Head, SoundIdentitiesOnly) {
-    EXPECT_TRUE(sound_request_id("a-B_9."));
+    EXPECT_TRUE(is_valid_request_id("a-B_9."));
     for (const std::string& bad : {std::string(), std::string(65, 'a'), std::string("a b"),
                                    std::string("a\r\nX: y"), std::string("\xc3\xa9")})
-        EXPECT_FALSE(sound_request_id(bad));
-    EXPECT_TRUE(sound_traceparent("00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"));
-    EXPECT_FALSE(sound_traceparent("00-00000000000000000000000000000000-b7ad6b7169203331-01"));
-    EXPECT_FALSE(sound_traceparent("00-0AF7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"));
-    EXPECT_FALSE(sound_traceparent("ff"));
+        EXPECT_FALSE(is_valid_request_id(bad));
+    EXPECT_TRUE(is_valid_traceparent("00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"));
+    EXPECT_FALSE(is_valid_traceparent("00-00000000000000000000000000000000-b7ad6b7169203331-01"));
+    EXPECT_FALSE(is_valid_traceparent("00-0AF7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"));
+    EXPECT_FALSE(is_valid_traceparent("ff"));
 }
 
 TEST(Head, DatesAreWrittenAsTheSpecificationHasThem) {
@@ -102,11 +102,11 @@
 
 TEST(Head, HopByHopFieldsAreThoseNamedAndThoseAlways) {
     const Fields fields = {{"Connection", "close, X-Mine"}, {"Connection", "keep-alive"}};
-    const auto words = connection_words(fields);
+    const auto words = connection_options(fields);
     EXPECT_TRUE(hop_by_hop(words, "x-mine"));
     EXPECT_TRUE(hop_by_hop(words, "TE"));
     EXPECT_FALSE(hop_by_hop(words, "Accept"));
-    EXPECT_TRUE(lists(fields, "connection", "KEEP-ALIVE"));
+    EXPECT_TRUE(list_contains(fields, "connection", "KEEP-ALIVE"));
 }
 
 TEST(Parser, AnyCutOfTheBytesGivesTheSameMessages) {
