--- a/bench/parts_bench.cpp
+++ b/bench/parts_bench.cpp
@@ -6,7 +6,7 @@
 #include <memory>
 
 #include "accounts/journal.h"
-#include "core/core.h"
+#include "core/request_coordinator.h"
 #include "frontend/http/message_translation.h"
 #include "openapi/description.h"
 
@@ -67,7 +67,7 @@
 void core_with_module(benchmark::State& state) {
     Micros now = 1s;
     Null out;
-    core::Core core(settings(), 0, 1, now, out);
+    core::RequestCoordinator core(settings(), 0, 1, now, out);
     core.on_endpoints_changed(now, hosts(static_cast<int>(state.range(0))));
     for (auto _ : state) {
         now += 50us;
@@ -107,8 +107,8 @@
             in.head, "/sites/merja/tally", identity, "127.0.0.1", "silverreach-0", 0));
         answers.feed(answer);
         answers.next();
-        benchmark::DoNotOptimize(frontend::http::response_head_for_client(
-            out.head, {}, identity.request_id, "silverreach-0", framing));
+        benchmark::DoNotOptimize(frontend::http::response_head_for_client(out.head, {}, identity.request_id,
+                                                                 "silverreach-0", framing));
     }
 }
 BENCHMARK(codec);
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -7,7 +7,7 @@
 
 #include "cli/files.h"
 #include "config/config.h"
-#include "core/core.h"
+#include "core/request_coordinator.h"
 #include "discovery/roster.h"
 #include "event/background_task.h"
 #include "event/loop.h"
@@ -20,12 +20,12 @@
 
 namespace silverreach::cli {
 
-class Instance : private core::Environment, private upstream_http::Events {
+class Instance : private core::Environment, private upstream_http::AttemptCallbacks {
   public:
     // `folder`: what relative names in the configuration start from. Throws std::runtime_error with
     // a plain message where a socket, file or the description is not to be had.
     Instance(event::Loop& loop, const config::Config& config, std::string folder, log::Log& log);
-    ~Instance();
+    ~Instance() override;
 
     int port() const { return frontend_->port(); }
     // Reads the description again, beside the traffic; a bad one is logged with all its errors and
@@ -46,16 +46,16 @@
     void send_message(int rank, const std::string& bytes) override;
     void finish_request(RequestId id, const core::FinalResponse& answer) override;
     void abort_response(RequestId id) override;
-    // ---- upstream_http::Events ----
-    bool hand_over(const core::AttemptKey& key) override;
-    bool answer_begins(const core::AttemptKey& key, const std::string& host, Micros took,
-                       const LoadReport& report, http::Head& head) override;
-    void answer_body(const core::AttemptKey& key, std::string_view bytes) override;
-    void answer_ended(const core::AttemptKey& key, bool whole,
-                      const http::Fields& trailers) override;
-    void attempt_ended(const core::AttemptKey& key, const std::string& host, Outcome outcome,
-                       Micros took, const LoadReport& report, int status) override;
-    void probe_ended(HealthCheckEnded ended) override;
+    // ---- upstream_http::AttemptCallbacks ----
+    bool begin_send(const core::AttemptKey& key) override;
+    bool on_response_started(const core::AttemptKey& key, const std::string& host, Micros took,
+                             const LoadReport& report, http::Head& head) override;
+    void on_response_body(const core::AttemptKey& key, std::string_view bytes) override;
+    void on_response_ended(const core::AttemptKey& key, bool whole,
+                           const http::Fields& trailers) override;
+    void on_attempt_ended(const core::AttemptKey& key, const std::string& host, Outcome outcome,
+                          Micros took, const LoadReport& report, int status) override;
+    void on_health_check_ended(HealthCheckEnded ended) override;
 
     std::shared_ptr<const openapi::Description> read_description(
         std::vector<openapi::Problem>& problems) const;
@@ -75,7 +75,7 @@
     event::TimerWheel timers_;
     event::BackgroundTask background_;
     bool reload_again_ = false;
-    std::unique_ptr<core::Core> core_;
+    std::unique_ptr<core::RequestCoordinator> core_;
     std::unique_ptr<upstream_http::Upstream> upstream_;
     std::unique_ptr<peers::Peers> peers_;
     std::unique_ptr<frontend::http::Frontend> frontend_;
--- a/src/frontend/http/client_request.h
+++ b/src/frontend/http/client_request.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/core.h"
+#include "core/client_request.h"
 #include "frontend/http/frontend_context.h"
 #include "frontend/http/message_translation.h"
 #include "frontend/http/request_resolver.h"
--- a/src/frontend/http/frontend.cpp
+++ b/src/frontend/http/frontend.cpp
@@ -25,7 +25,7 @@
 }
 
 Frontend::Frontend(event::Loop& loop, const config::Config& config, config::AccountBook& accounts,
-                   core::Core& core, FrontendCallbacks callbacks)
+                   core::RequestCoordinator& core, FrontendCallbacks callbacks)
     : context_{config,
                core,
                std::move(callbacks),
--- a/src/frontend/http/frontend.h
+++ b/src/frontend/http/frontend.h
@@ -20,7 +20,7 @@
     // All but `callbacks` must outlive the front end. Throws event::SystemError where the address
     // of `config` cannot be listened on.
     Frontend(event::Loop& loop, const config::Config& config, config::AccountBook& accounts,
-             core::Core& core, FrontendCallbacks callbacks);
+             core::RequestCoordinator& core, FrontendCallbacks callbacks);
 
     int port() const { return connections_.port(); }
     // Stops listening; from now on connections end with the responses that they are owed.
--- a/src/frontend/http/frontend_context.h
+++ b/src/frontend/http/frontend_context.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 
 #include "config/config.h"
-#include "core/core.h"
+#include "core/request_coordinator.h"
 #include "event/system_random.h"
 #include "frontend/http/request_resolver.h"
 #include "openapi/description.h"
@@ -53,7 +53,7 @@
 // Owned by the Frontend; outlives the connections.
 struct FrontendContext {
     const config::Config& config;
-    core::Core& core;
+    core::RequestCoordinator& core;
     FrontendCallbacks callbacks;
     int anonymous_plan;  // index into Settings::plans; below 0: none
     std::string via;     // this instance's name in the Via field
--- a/src/frontend/resp/frontend.cpp
+++ b/src/frontend/resp/frontend.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "frontend/resp/resp_connection.h"
-#include "resp/command.h"
+#include "resp/serializer.h"
 
 namespace silverreach::frontend::resp {
 namespace {
@@ -31,7 +31,8 @@
 }  // namespace
 
 Frontend::Frontend(event::Loop& loop, const config::Endpoint& listen, const platform::Judge& judge,
-                   const FrontendLimits& limits, core::Core& core, std::function<Micros()> clock)
+                   const FrontendLimits& limits, core::RequestCoordinator& core,
+                   std::function<Micros()> clock)
     : loop_(loop),
       context_{judge, core, std::move(clock), BufferBudget(limits.max_buffered_bytes)},
       connections_(loop, listen, policy_of(limits),
--- a/src/frontend/resp/frontend.h
+++ b/src/frontend/resp/frontend.h
@@ -30,7 +30,8 @@
     // `clock` gives the core's time. Loop, judge and core must outlive the front end. Throws
     // event::SystemError where the address cannot be listened on.
     Frontend(event::Loop& loop, const config::Endpoint& listen, const platform::Judge& judge,
-             const FrontendLimits& limits, core::Core& core, std::function<Micros()> clock);
+             const FrontendLimits& limits, core::RequestCoordinator& core,
+             std::function<Micros()> clock);
 
     int port() const { return connections_.port(); }
     bool listening() const { return connections_.listening(); }
--- a/src/frontend/resp/frontend_context.cpp
+++ b/src/frontend/resp/frontend_context.cpp
@@ -1,6 +1,6 @@
 #include "frontend/resp/frontend_context.h"
 
-#include "decisions/attempt_rules.h"
+#include "decisions/retry/attempt_rules.h"
 
 namespace silverreach::frontend::resp {
 
--- a/src/frontend/resp/frontend_context.h
+++ b/src/frontend/resp/frontend_context.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <functional>
 
-#include "core/core.h"
+#include "core/request_coordinator.h"
 #include "frontend/resp/buffer_budget.h"
 #include "frontend/resp/connection_close.h"
 #include "frontend/resp/request_table.h"
@@ -25,7 +25,7 @@
 // Owned by the Frontend; outlives the connections.
 struct FrontendContext {
     const platform::Judge& judge;
-    core::Core& core;
+    core::RequestCoordinator& core;
     std::function<Micros()> clock;  // the core's time
     BufferBudget buffer_budget;
     RequestTable requests = {};
--- a/src/frontend/resp/resp_connection.cpp
+++ b/src/frontend/resp/resp_connection.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "frontend/common/connection_manager.h"
+#include "resp/serializer.h"
 
 namespace silverreach::frontend::resp {
 namespace {
@@ -97,22 +98,22 @@
     for (std::size_t n = 0; state_ == State::open && !rest.empty(); ++n) {
         if (must_wait()) return ReadResult::no_capacity;
         if (n == max_commands_per_turn) return ReadResult::turn_used;
-        const wire::Got got = reader_.look(rest);
-        if (got == wire::Got::more) break;
-        if (got == wire::Got::broken) {
+        const wire::ParseStatus status = parser_.parse(rest);
+        if (status == wire::ParseStatus::incomplete) break;
+        if (status == wire::ParseStatus::malformed) {
             ++context_.counters.protocol_errors;
-            fail(reader_.why());
+            fail(wire::to_string(parser_.error()));
             break;
         }
         ++commands_;
         std::vector<std::string_view> words;
-        for (std::size_t i = 0; i < reader_.words(); ++i)
-            words.push_back(reader_.word(rest, i));
-        consumed += reader_.size();
+        for (std::size_t i = 0; i < parser_.argument_count(); ++i)
+            words.push_back(parser_.argument(rest, i));
+        consumed += parser_.consumed();
         const Micros now = loop().now();
         handle_command(words, now - arrivals().time_of(consumed, now));
         rest = std::string_view(input_).substr(consumed);
-        reader_.next();
+        parser_.reset();
     }
     return ReadResult::incomplete;
 }
@@ -138,7 +139,7 @@
 // Reads somewhat ahead of the capacity for responses, so that the client's end is seen behind
 // commands that wait; not where all connections together buffer too much.
 void RespConnection::update_reading() {
-    std::size_t max_buffered = wire::Limits{}.total;
+    std::size_t max_buffered = wire::ParseLimits{}.max_message_bytes;
     if (must_wait()) max_buffered = context_.buffer_budget.exceeded() ? 0 : max_read_ahead_bytes;
     stream().read(input_.size() <= max_buffered);
 }
--- a/src/frontend/resp/resp_connection.h
+++ b/src/frontend/resp/resp_connection.h
@@ -12,7 +12,7 @@
 #include "frontend/resp/frontend_context.h"
 #include "frontend/resp/invalid_command_throttle.h"
 #include "frontend/resp/response_queue.h"
-#include "resp/command.h"
+#include "resp/command_parser.h"
 
 namespace silverreach::frontend::resp {
 
@@ -78,7 +78,7 @@
 
     FrontendContext& context_;
     State state_ = State::open;
-    silverreach::resp::CommandReader reader_;
+    silverreach::resp::CommandParser parser_;
     std::string input_;  // bytes that are not a command yet
     ResponseQueue responses_;
     InvalidCommandThrottle throttle_;
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -35,7 +35,7 @@
 }
 
 void read_limits(json::object o, NodeLimits& limits) {
-    double memory = static_cast<double>(limits.memory_mb);
+    auto memory = static_cast<double>(limits.memory_mb);
     json::read(o, "memory_mb", memory);
     json::read(o, "sockets", limits.sockets);
     limits.memory_mb = static_cast<std::int64_t>(memory);
@@ -104,7 +104,7 @@
         fail("configuration", "one JSON object");
     try {
         return read_root(json::as_object(root, "configuration"), variable);
-    } catch (const json::BadValue& error) {
+    } catch (const json::ValueError& error) {
         throw std::invalid_argument(error.what());
     }
 }
--- a/tests/node/rig.h
+++ b/tests/node/rig.h
@@ -3,14 +3,16 @@
 #pragma once
 
 #include <gtest/gtest.h>
-#include <signal.h>
 
+#include <csignal>
 #include <functional>
 #include <memory>
 #include <string>
 #include <vector>
 
 #include "cli/node.h"
+#include "resp/command_parser.h"
+#include "resp/serializer.h"
 #include "tests/node/settings.h"
 #include "tests/support/late_host.h"
 #include "tests/support/loop.h"
@@ -43,7 +45,7 @@
           data(std::move(on_data)),
           listener(
               l, "127.0.0.1", 0, false, [] { return true; },
-              [this](event::Fd fd, std::string) {
+              [this](event::Fd fd, const std::string&) {
                   peers.push_back(std::make_unique<Peer>(*this, std::move(fd)));
               }) {}
     std::string address() const { return "127.0.0.1:" + std::to_string(listener.port()); }
@@ -70,13 +72,13 @@
     };
     explicit Host(event::Loop& l) : Accepting(l, [this](Peer& p) { take(p); }) {}
     void take(Peer& p) {
-        resp::CommandReader reader;
-        while (reader.look(p.got) == resp::Got::whole) {
+        resp::CommandParser reader;
+        while (reader.parse(p.got) == resp::ParseStatus::complete) {
             Words words;
-            for (std::size_t i = 0; i < reader.words(); ++i)
-                words.emplace_back(reader.word(p.got, i));
-            p.got.erase(0, reader.size());
-            reader.next();
+            for (std::size_t i = 0; i < reader.argument_count(); ++i)
+                words.emplace_back(reader.argument(p.got, i));
+            p.got.erase(0, reader.consumed());
+            reader.reset();
             commands.push_back(words);
             respond(p, words);
         }
@@ -110,7 +112,7 @@
             if (!p.over) answer(p);
         });
     }
-    void answer(Peer& p) {
+    void answer(Peer& p) const {
         p.stream.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         if (!first.empty()) say(p, first + "\n");
     }
--- a/tests/soak/world.h
+++ b/tests/soak/world.h
@@ -13,8 +13,9 @@
 
 #include "event/listener.h"
 #include "event/stream.h"
-#include "resp/command.h"
-#include "resp/reply.h"
+#include "resp/command_parser.h"
+#include "resp/reply_parser.h"
+#include "resp/serializer.h"
 #include "tests/soak/ledger.h"
 #include "tests/support/node_process.h"
 
@@ -107,7 +108,7 @@
     bool expected_down = false, ready = false, full_log = false;
     Micros started{0}, terminated{0};
     int starts = 0;
-    Directory& followed() { return moved ? *other : *directory; }
+    Directory& followed() const { return moved ? *other : *directory; }
 };
 
 class World {
