--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -246,7 +246,7 @@
                                    Micros took, const LoadReport& report, http::Head& head) {
     if (!core_->on_response_started(loop_.now(), key, host, took, report)) return false;
     frontend_->start_response(key.request, head,
-                          [this, key](bool pause) { upstream_->set_reading(key, !pause); });
+                              [this, key](bool pause) { upstream_->set_reading(key, !pause); });
     return true;
 }
 void Instance::on_response_body(const core::AttemptKey& key, std::string_view bytes) {
