--- a/src/http/head.cpp
+++ b/src/http/head.cpp
@@ -233,15 +233,18 @@
 
 std::string date_text(std::time_t at) {
     // Written out, since strftime's names follow the locale.
-    static constexpr std::string_view days = "SunMonTueWedThuFriSat",
-                                      months = "JanFebMarAprMayJunJulAugSepOctNovDec";
-    std::tm t{};
-    gmtime_r(&at, &t);
-    char text[40];
-    std::snprintf(text, sizeof text, "%.3s, %02d %.3s %04d %02d:%02d:%02d GMT",
-                  days.data() + 3 * t.tm_wday, t.tm_mday, months.data() + 3 * t.tm_mon,
-                  t.tm_year + 1900, t.tm_hour, t.tm_min, t.tm_sec);
-    return text;
+    static constexpr std::array<const char*, 7> days{"Sun", "Mon", "Tue", "Wed",
+                                                     "Thu", "Fri", "Sat"};
+    static constexpr std::array<const char*, 12> months{"Jan", "Feb", "Mar", "Apr", "May", "Jun",
+                                                        "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"};
+    std::tm time{};
+    gmtime_r(&at, &time);
+    std::array<char, 40> text{};
+    std::snprintf(text.data(), text.size(), "%s, %02d %s %04d %02d:%02d:%02d GMT",
+                  days[static_cast<std::size_t>(time.tm_wday)], time.tm_mday,
+                  months[static_cast<std::size_t>(time.tm_mon)], time.tm_year + 1900, time.tm_hour,
+                  time.tm_min, time.tm_sec);
+    return text.data();
 }
 
 std::string_view reason_phrase(int status) {
