--- /dev/null
+++ b/tests/accounts/compatibility_test.cpp
@@ -0,0 +1,184 @@
+// A registry written by the program of e37c333 is read, and appended to, by this one.
+//
+// data/registry_e37c333 holds the folder as `silverreach keys` of that commit left it: two plans,
+// two accounts, six keys issued, one of them by a rotation, three revocations.
+#include <gtest/gtest.h>
+#include <stdlib.h>
+
+#include <filesystem>
+#include <fstream>
+#include <iterator>
+
+#include "accounts/journal.h"
+#include "registry/store.h"
+
+using namespace silverreach::accounts;
+using silverreach::registry::Disk;
+using silverreach::registry::Store;
+
+namespace {
+const std::filesystem::path recorded = std::filesystem::path(TEST_DATA_DIR) / "registry_e37c333";
+constexpr std::uint64_t recorded_version = 13;
+constexpr std::size_t recorded_log_bytes = 937;
+
+// The texts as `keys issue` and `keys rotate` printed them.
+const std::string rotated = "srk_zfdzmx3tpm_5hr41vwknhdwv913egmee89x8v0ybxagbyjx";
+const std::string valid_for_an_hour = "srk_4zeqs20daf_ttf1m6x1kdf8820rdw5amfkpsyzmh6zm772v";
+const std::string starts_later = "srk_e82mak1jc3_2q53d9kh23dpmsjv1jf19sz1g4smz1f2498k";
+const std::string leaked = "srk_2qb6r3ykn9_7f5gkkhjg2gn3y63b5avc4z7t75w44wvtm0r";
+const std::string successor = "srk_aw11263qq3_nwf3g2jsgm5vryh1q1bjfz6x2jt6rb9yfzqx";
+const std::string ended_on_request = "srk_wghw36rfaw_cjbe6z1znefg9kh2a2b6r1btvbxs6rcyjpdb";
+
+std::string id_of(const std::string& text) {
+    return std::string(look_at(text).id);
+}
+std::string bytes_of(const std::filesystem::path& file) {
+    std::ifstream in(file, std::ios::binary);
+    return {std::istreambuf_iterator<char>(in), {}};
+}
+
+// A copy, since opening a registry takes a lock file and appending writes.
+struct RecordedRegistry {
+    std::string folder = "/tmp/silverreach-recorded-XXXXXX";
+    Disk disk;
+    RecordedRegistry() {
+        mkdtemp(folder.data());
+        for (const char* name : {"log", "mark", "secret"})
+            std::filesystem::copy_file(recorded / name, std::filesystem::path(folder) / name);
+    }
+    ~RecordedRegistry() { std::filesystem::remove_all(folder); }
+    Store open(Store::Mode mode) { return Store(folder, mode, false, disk); }
+    std::string log() const { return bytes_of(std::filesystem::path(folder) / "log"); }
+    std::string mark() const { return bytes_of(std::filesystem::path(folder) / "mark"); }
+};
+
+void expect_key(const Registry& registry, const std::string& text, const std::string& account,
+                std::int64_t start_unix_ms, Wall cutoff, Cause cause,
+                const std::string& replaced_by = "") {
+    SCOPED_TRACE(text);
+    ASSERT_TRUE(registry.keys().contains(id_of(text)));
+    const Key& key = registry.keys().at(id_of(text));
+    EXPECT_EQ(key.account, account);
+    EXPECT_EQ(key.hash, hash_of(registry.pepper(), text));
+    EXPECT_EQ(key.start, Wall(start_unix_ms));
+    EXPECT_EQ(key.cutoff, cutoff);
+    EXPECT_EQ(key.cause, cause);
+    EXPECT_EQ(key.successor, replaced_by);
+}
+
+void expect_recorded_keys(const Registry& registry) {
+    expect_key(registry, rotated, "wetlands", 1'796'286'147'457, Wall(1'796'286'747'586),
+               Cause::none, id_of(successor));
+    expect_key(registry, successor, "wetlands", 1'796'286'147'586, never, Cause::none);
+    expect_key(registry, valid_for_an_hour, "wetlands", 1'796'286'147'490, Wall(1'796'289'747'490),
+               Cause::none);
+    expect_key(registry, starts_later, "rival", 1'796'293'347'517, Wall(1'796'296'947'635),
+               Cause::closed);
+    expect_key(registry, leaked, "rival", 1'796'286'147'553, Wall(1'796'286'147'618),
+               Cause::leaked);
+    expect_key(registry, ended_on_request, "rival", 1'796'286'147'654, Wall(1'796'286'147'690),
+               Cause::asked);
+}
+}  // namespace
+
+TEST(RecordedRegistry, PlansAccountsAndKeysAreReadAsTheyWereWritten) {
+    RecordedRegistry copy;
+    for (const Store::Mode mode : {Store::Mode::read, Store::Mode::write}) {
+        Store store = copy.open(mode);
+        const Registry& registry = store.registry();
+        EXPECT_EQ(registry.version(), recorded_version);
+        EXPECT_EQ(registry.plans(),
+                  (std::map<std::string, std::uint64_t>{{"basic", 1}, {"gold", 2}}));
+        ASSERT_EQ(registry.accounts().size(), 2u);
+        EXPECT_EQ(registry.accounts().at("wetlands").plan, "basic");
+        EXPECT_EQ(registry.accounts().at("rival").plan, "gold");
+        for (const auto& [name, account] : registry.accounts())
+            EXPECT_EQ(account.merged_into, "") << name;
+        EXPECT_EQ(registry.keys().size(), 6u);
+        expect_recorded_keys(registry);
+    }
+    EXPECT_EQ(copy.log(), bytes_of(recorded / "log")) << "opening changes no byte";
+    EXPECT_EQ(copy.mark(), bytes_of(recorded / "mark"));
+}
+
+TEST(RecordedRegistry, KeysAreServedWithinTheirValidityWindows) {
+    RecordedRegistry copy;
+    Store store = copy.open(Store::Mode::read);
+    // In ascending order: a registry does not follow a clock that steps back.
+    const Wall in_overlap(1'796'286'148'000), after_overlap(1'796'286'747'586),
+        after_an_hour(1'796'289'747'490), late_start(1'796'293'347'517),
+        revocation(1'796'296'947'635);
+    const auto verdict = [&](const std::string& text, Wall at) {
+        return store.registry().look_up(text, at).verdict;
+    };
+    EXPECT_EQ(verdict(rotated, in_overlap), Verdict::served);
+    EXPECT_EQ(verdict(successor, in_overlap), Verdict::served);
+    EXPECT_EQ(verdict(valid_for_an_hour, in_overlap), Verdict::served);
+    EXPECT_EQ(verdict(starts_later, in_overlap), Verdict::early);
+    EXPECT_EQ(verdict(leaked, in_overlap), Verdict::cut_off);
+    EXPECT_EQ(verdict(ended_on_request, in_overlap), Verdict::cut_off);
+    EXPECT_EQ(verdict(rotated, after_overlap - Wall(1)), Verdict::served);
+    EXPECT_EQ(verdict(rotated, after_overlap), Verdict::cut_off);
+    EXPECT_EQ(verdict(valid_for_an_hour, after_an_hour - Wall(1)), Verdict::served);
+    EXPECT_EQ(verdict(valid_for_an_hour, after_an_hour), Verdict::cut_off);
+    EXPECT_EQ(verdict(starts_later, late_start - Wall(1)), Verdict::early);
+    EXPECT_EQ(verdict(starts_later, late_start), Verdict::served);
+    EXPECT_EQ(verdict(starts_later, revocation), Verdict::cut_off);
+    const Served served = store.registry().look_up(successor, revocation);
+    EXPECT_EQ(served.verdict, Verdict::served);
+    EXPECT_EQ(served.account, "wetlands");
+    EXPECT_EQ(served.plan, "basic");
+    EXPECT_EQ(served.key_id, id_of(successor));
+}
+
+TEST(RecordedRegistry, EncodingItsChangesAgainGivesTheSameBytes) {
+    const std::string log = bytes_of(recorded / "log");
+    ASSERT_EQ(log.size(), recorded_log_bytes);
+    const Recovered read = recover(log, bytes_of(recorded / "mark"));
+    EXPECT_EQ(read.problem, "");
+    ASSERT_EQ(read.changes.size(), recorded_version);
+    EXPECT_EQ(read.keep, recorded_log_bytes);
+    std::string again(log_magic);
+    for (const Change& change : read.changes)
+        again += record_of(change);
+    EXPECT_EQ(again, log);
+}
+
+TEST(RecordedRegistry, AppendingKeepsWhatIsThereAndAdvancesTheCommitMarker) {
+    RecordedRegistry copy;
+    const Wall at(1'796'286'200'000);
+    {
+        Store store = copy.open(Store::Mode::write);
+        ASSERT_EQ(store.change(AddPlan{"silver"}, at), "");
+        ASSERT_EQ(store.change(PutAccount{"rival", "silver"}, at), "");
+        ASSERT_EQ(store.change(RevokeKey{id_of(successor), at, Cause::leaked}, at), "");
+    }
+    EXPECT_TRUE(copy.log().starts_with(bytes_of(recorded / "log")));
+    EXPECT_EQ(copy.mark().size(), 2 * slot_size);
+    const auto marker = read_mark(copy.mark());
+    ASSERT_TRUE(marker);
+    EXPECT_EQ(marker->sequence, recorded_version + 3);
+    EXPECT_EQ(marker->acknowledged, copy.log().size());
+
+    Store reader = copy.open(Store::Mode::read);
+    EXPECT_EQ(reader.registry().version(), recorded_version + 3);
+    EXPECT_TRUE(reader.registry().plans().contains("silver"));
+    EXPECT_EQ(reader.registry().accounts().at("rival").plan, "silver");
+    expect_key(reader.registry(), successor, "wetlands", 1'796'286'147'586, at, Cause::leaked);
+    expect_key(reader.registry(), leaked, "rival", 1'796'286'147'553, Wall(1'796'286'147'618),
+               Cause::leaked);
+}
+
+TEST(RecordedRegistry, DamageBelowItsCommitMarkerIsRefused) {
+    const std::string log = bytes_of(recorded / "log");
+    const std::string mark = bytes_of(recorded / "mark");
+    EXPECT_NE(recover(log.substr(0, log.size() - 1), mark).problem, "");
+    for (std::size_t at = 0; at < log.size(); ++at) {
+        std::string damaged = log;
+        damaged[at] = static_cast<char>(damaged[at] ^ 0x20);
+        EXPECT_NE(recover(damaged, mark).problem, "") << at;
+    }
+    const Recovered torn = recover(log + "torn", mark);
+    EXPECT_EQ(torn.problem, "");
+    EXPECT_EQ(torn.keep, recorded_log_bytes) << "what follows the marker is cut off";
+}
