--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -70,24 +70,27 @@
         const int instances = std::max(1, config_.peers().peer_size());
         return core_->subset_of(account.name).contains(config_.peers().rank(), instances);
     };
-    discovery::Roster::Hooks list;
-    list.changed = [this](std::vector<EndpointEntry> hosts) { hosts_changed(std::move(hosts)); };
-    list.bad = [this](const std::vector<openapi::Problem>& found) {
+    discovery::EndpointDiscoveryCallbacks discovery_callbacks;
+    discovery_callbacks.on_endpoints = [this](std::vector<EndpointEntry> hosts) {
+        hosts_changed(std::move(hosts));
+    };
+    discovery_callbacks.on_invalid_list = [this](const std::vector<openapi::Problem>& found) {
         for (const auto& p : found)
             log_.write(log::Level::error, "hosts_bad", {{"problem", openapi::to_string(p)}});
     };
-    list.unreachable = [this](const std::string& why) {
-        log_.write(log::Level::warning, "hosts_unreachable", {{"why", why}});
+    discovery_callbacks.on_unavailable = [this](const discovery::DiscoveryError& error) {
+        log_.write(log::Level::warning, "hosts_unreachable", {{"why", error.message()}});
     };
     front_ =
         std::make_unique<frontend::http::Front>(loop, config, *accounts_, *core_, std::move(hooks));
-    roster_ = std::make_unique<discovery::Roster>(loop, config, folder_, std::move(list));
+    discovery_ =
+        discovery::start_endpoint_discovery(loop, config, folder_, std::move(discovery_callbacks));
 }
 Instance::~Instance() {
     alive_.reset();
     // The front's connections may tell the core of their end; the core may still send: in this
     // order none is missing.
-    roster_.reset();
+    discovery_.reset();
     front_.reset();
     upstream_.reset();
 }
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -8,7 +8,7 @@
 #include "cli/files.h"
 #include "config/config.h"
 #include "core/request_coordinator.h"
-#include "discovery/roster.h"
+#include "discovery/endpoint_discovery.h"
 #include "event/background.h"
 #include "event/loop.h"
 #include "event/token_timers.h"
@@ -79,7 +79,7 @@
     std::unique_ptr<upstream_http::Upstream> upstream_;
     std::unique_ptr<peers::Peers> peers_;
     std::unique_ptr<frontend::http::Front> front_;
-    std::unique_ptr<discovery::Roster> roster_;
+    std::unique_ptr<discovery::EndpointDiscovery> discovery_;
 };
 
 }  // namespace silverreach::cli
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -80,17 +80,18 @@
                     {"in_hand", whole(close.requests_in_hand)},
                     {"open_us", std::int64_t{close.open_for.count()}}});
     });
-    discovery::Watch::Hooks hooks;
-    hooks.changed = [this](const platform::TargetList& list) { hosts_changed(list); };
-    hooks.lost = [this](const std::string& why) {
-        log_.write(log::Level::warning, "discovery_lost", {{"why", why}});
+    discovery::DiscoveryWatch::Callbacks callbacks;
+    callbacks.on_list = [this](const platform::TargetList& list) { hosts_changed(list); };
+    callbacks.on_unavailable = [this](const discovery::DiscoveryError& error) {
+        log_.write(log::Level::warning, "discovery_lost", {{"why", error.message()}});
     };
     const std::int64_t from = config_.known.targets.empty() ? -1 : config_.known.revision;
-    watch_ = std::make_unique<discovery::Watch>(loop, config_.discovery, from, std::move(hooks));
+    discovery_watch_ = std::make_unique<discovery::DiscoveryWatch>(loop, config_.discovery, from,
+                                                                   std::move(callbacks));
 }
 Node::~Node() {
     alive_.reset();
-    watch_.reset();
+    discovery_watch_.reset();
     front_.reset();
     upstream_.reset();
 }
@@ -111,7 +112,7 @@
 
 void Node::reload(const platform::NodeConfig& fresh) {
     log_.write(log::Level::warning, "configuration", {{"discovery", fresh.discovery.text()}});
-    watch_->move(fresh.discovery);
+    discovery_watch_->redirect(fresh.discovery);
 }
 
 void Node::drain(Micros still, Micros most, std::function<void()> done) {
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "core/request_coordinator.h"
-#include "discovery/watch.h"
+#include "discovery/discovery_watch.h"
 #include "event/loop.h"
 #include "event/token_timers.h"
 #include "frontend/resp/front.h"
@@ -75,7 +75,7 @@
     std::unique_ptr<upstream_resp::Upstream> upstream_;
     std::unique_ptr<peers::PlainPeers> peers_;
     std::unique_ptr<frontend::resp::Front> front_;
-    std::unique_ptr<discovery::Watch> watch_;
+    std::unique_ptr<discovery::DiscoveryWatch> discovery_watch_;
     bool draining_ = false;
     std::array<std::uint64_t, 7> refused_{};  // by RefuseReason
     std::array<std::uint64_t, 8> ended_{};    // attempts, by Outcome
--- /dev/null
+++ b/src/discovery/file_discovery.h
@@ -0,0 +1,24 @@
+// Reads the endpoint list from a file, again whenever the file changes.
+#pragma once
+
+#include <string>
+
+#include "discovery/endpoint_list_updater.h"
+
+namespace silverreach::discovery {
+
+class FileDiscovery : public EndpointDiscovery {
+  public:
+    // Reads the file before it returns. A file that cannot be read is reported and watched.
+    FileDiscovery(event::Loop& loop, std::string path, std::string cluster,
+                  EndpointDiscoveryCallbacks callbacks);
+
+  private:
+    void read_file();
+
+    std::string path_;
+    EndpointListUpdater updater_;
+    event::FileWatch file_watch_;
+};
+
+}  // namespace silverreach::discovery
--- a/tests/faults/discovery_test.cpp
+++ b/tests/faults/discovery_test.cpp
@@ -1,9 +1,9 @@
-// Discovery that takes its time.
+// A discovery service that responds slowly.
 #include "tests/faults/rig.h"
 
 using namespace fault_test;
 
-TEST(SlowDiscovery, IsWaitedForLonger) {
+TEST(SlowDiscovery, GetsALongerFirstListTimeout) {
     FaultNode n;
     n.discovery->patience = 1500ms;
     n.discovery->first = Discovery::list(50, true, n.hosts[0]->target("s-1", "draining"));
--- a/tests/gateway/fleet_test.cpp
+++ b/tests/gateway/fleet_test.cpp
@@ -29,10 +29,11 @@
     service->set("127.0.0.1:81", {});
     config.mutable_hosts()->set_discovery("127.0.0.1:" + std::to_string(service->port()));
     config.mutable_hosts()->set_discovery_ms(10);
-    discovery::Roster roster(loop, config, ".",
-                             {[&](std::vector<EndpointEntry> h) { lists.push_back(std::move(h)); },
-                              [&](const std::vector<openapi::Problem>&) { ++bad; },
-                              [&](const std::string&) { ++unreachable; }});
+    const auto discovery = discovery::start_endpoint_discovery(
+        loop, config, ".",
+        {[&](std::vector<EndpointEntry> h) { lists.push_back(std::move(h)); },
+         [&](const std::vector<openapi::Problem>&) { ++bad; },
+         [&](const discovery::DiscoveryError&) { ++unreachable; }});
     const auto run = [&](std::function<bool()> until) {
         const auto end = event::Loop::clock() + 3s;
         std::function<void()> look = [&] {
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -1,6 +1,7 @@
 #include <gtest/gtest.h>
 
-#include "discovery/endpoints.h"
+#include "discovery/endpoint_list.h"
+#include "discovery/start_time_converter.h"
 #include "http/parser.h"
 #include "peers/peers.h"
 #include "upstream/http/load_report.h"
@@ -220,23 +221,23 @@
         EXPECT_LT(upstream_http::parse_load_report(bad).queued_requests, 0) << bad;
 }
 
-TEST(Endpoints, ListsAreReadWholeOrNotAtAll) {
+TEST(EndpointList, AListWithOneInvalidEntryIsInvalid) {
     const auto list = [](const std::string& endpoint) {
         return R"({"versionInfo":"7","resources":[{"clusterName":"hosts","endpoints":[{"locality":{"zone":"a"},"lbEndpoints":[)" +
                endpoint + "]}]}]}";
     };
     const std::string one =
         R"({"endpoint":{"address":{"socketAddress":{"address":"::1","portValue":80}},"additionalAddresses":[{"address":{"socket_address":{"address":"127.0.0.1","port_value":81}}}]},"healthStatus":"DRAINING","loadBalancingWeight":3,"metadata":{"filterMetadata":{"silverreach":{"cell":2,"started_unix_ms":5}}}})";
-    discovery::HostList hosts;
+    discovery::EndpointList parsed;
     std::vector<openapi::Problem> problems;
-    ASSERT_TRUE(discovery::parse_endpoints(list(one), "s", "hosts", hosts, problems));
-    EXPECT_EQ(hosts.version, "7");
-    ASSERT_EQ(hosts.hosts.size(), 1u);
-    EXPECT_EQ(hosts.hosts[0].entry.id, "[::1]:80");
-    EXPECT_EQ(hosts.hosts[0].entry.status, EndpointStatus::draining);
-    EXPECT_EQ(hosts.hosts[0].entry.cell, 2);
-    EXPECT_EQ(hosts.hosts[0].entry.zone, "a");
-    EXPECT_EQ(hosts.hosts[0].addresses, std::vector<std::string>{"127.0.0.1:81"});
+    ASSERT_TRUE(discovery::parse_endpoint_list(list(one), "s", "hosts", parsed, problems));
+    EXPECT_EQ(parsed.version, "7");
+    ASSERT_EQ(parsed.endpoints.size(), 1u);
+    EXPECT_EQ(parsed.endpoints[0].entry.id, "[::1]:80");
+    EXPECT_EQ(parsed.endpoints[0].entry.status, EndpointStatus::draining);
+    EXPECT_EQ(parsed.endpoints[0].entry.cell, 2);
+    EXPECT_EQ(parsed.endpoints[0].entry.zone, "a");
+    EXPECT_EQ(parsed.endpoints[0].addresses, std::vector<std::string>{"127.0.0.1:81"});
     for (
         const std::string& bad :
         {std::string("{"), std::string("{}"), list(one + "," + one), list("{}"),
@@ -244,21 +245,21 @@
          list(
              R"({"endpoint":{"address":{"socketAddress":{"address":"1.2.3.4","portValue":1}}},"healthStatus":"FINE"})")}) {
         problems.clear();
-        EXPECT_FALSE(discovery::parse_endpoints(bad, "s", "hosts", hosts, problems)) << bad;
+        EXPECT_FALSE(discovery::parse_endpoint_list(bad, "s", "hosts", parsed, problems)) << bad;
         EXPECT_FALSE(problems.empty());
     }
 }
 
-TEST(Endpoints, AStartStaysWhereItWasPut) {
-    discovery::StartTimes starts;
-    const Micros first = starts.place("a", 1000, Micros(50'000'000), 3000);
+TEST(StartTimeConverter, AStartIsConvertedOnce) {
+    discovery::StartTimeConverter starts;
+    const Micros first = starts.convert("a", 1000, Micros(50'000'000), 3000);
     EXPECT_EQ(first, Micros(48'000'000));
-    EXPECT_EQ(starts.place("a", 1000, Micros(60'000'000), 99'000), first)
-        << "a step of the wall clock moves nothing";
-    EXPECT_EQ(starts.place("a", 0, Micros(1), 1), Micros(0));
-    EXPECT_EQ(starts.place("b", 1, Micros(5), 100'000), Micros(1))
-        << "before this clock began, yet a start";
-    EXPECT_EQ(starts.place("c", 5000, Micros(70), 3000), Micros(70))
+    EXPECT_EQ(starts.convert("a", 1000, Micros(60'000'000), 99'000), first)
+        << "a step of the wall clock does not move it";
+    EXPECT_EQ(starts.convert("a", 0, Micros(1), 1), Micros(0));
+    EXPECT_EQ(starts.convert("b", 1, Micros(5), 100'000), Micros(1))
+        << "a start before this clock began is still a start";
+    EXPECT_EQ(starts.convert("c", 5000, Micros(70), 3000), Micros(70))
         << "a start in the future is now";
 }
 
--- a/tests/node/watch_test.cpp
+++ b/tests/node/discovery_watch_test.cpp
@@ -1,4 +1,6 @@
-// The watch against a discovery that says what it is told to, with short time limits.
+// DiscoveryWatch against a scripted discovery service, with short timeouts.
+#include "discovery/discovery_watch.h"
+
 #include "platform/object_reader.h"
 #include "tests/node/rig.h"
 
@@ -11,29 +13,32 @@
 struct Watching : test_support::OnLoop {
     Discovery discovery{loop};
     std::vector<platform::TargetList> lists;
-    std::unique_ptr<discovery::Watch> watch;
-    // `wait`: before another call that is not made at once; `first`: for the first object; `lived`:
-    // to be followed at once.
-    explicit Watching(Micros wait = 10ms, Micros first = 10s, Micros lived = 0s) {
-        discovery::Watch::Hooks hooks;
-        hooks.changed = [this](platform::TargetList list) { lists.push_back(std::move(list)); };
-        hooks.lost = [](const std::string&) {};
-        discovery::Watch::Times times;
-        times.silent = 1s, times.first = first, times.wait_first = wait, times.wait_most = 2 * wait;
-        times.look = 10ms, times.lived = lived;
-        watch = std::make_unique<discovery::Watch>(
+    std::unique_ptr<discovery::DiscoveryWatch> watch;
+    explicit Watching(Micros initial_backoff = 10ms, Micros first_list = 10s,
+                      Micros stable_after = 0s) {
+        discovery::DiscoveryWatch::Callbacks callbacks;
+        callbacks.on_list = [this](platform::TargetList list) { lists.push_back(std::move(list)); };
+        callbacks.on_unavailable = [](const discovery::DiscoveryError&) {};
+        discovery::DiscoveryWatch::Timeouts timeouts;
+        timeouts.inactivity = 1s;
+        timeouts.first_list = first_list;
+        timeouts.initial_backoff = initial_backoff;
+        timeouts.max_backoff = 2 * initial_backoff;
+        timeouts.check_interval = 10ms;
+        timeouts.stable_after = stable_after;
+        watch = std::make_unique<discovery::DiscoveryWatch>(
             loop, config::Endpoint{"127.0.0.1", discovery.listener.port(), false}, 41,
-            std::move(hooks), times);
-        EXPECT_TRUE(asked(1));
+            std::move(callbacks), timeouts);
+        EXPECT_TRUE(requested(1));
     }
-    bool asked(std::size_t n) {
+    bool requested(std::size_t n) {
         return run([&] { return discovery.asked.size() == n; }, 2s);
     }
-    bool told(std::size_t n) {
+    bool received(std::size_t n) {
         return run([&] { return lists.size() == n; }, 2s);
     }
 };
-const std::string whole = "GET /v1/endpoints?follow=1 HTTP/1.1";
+const std::string complete_list_request = "GET /v1/endpoints?follow=1 HTTP/1.1";
 }  // namespace
 
 TEST(ObjectReader, AnObjectEndsWhereItsBracesClose) {
@@ -62,7 +67,7 @@
     EXPECT_EQ(small.look(bytes), platform::ObjectReader::Got::broken);
 }
 
-TEST(Watch, AListMayComeIndentedAndInPieces) {
+TEST(DiscoveryWatch, AListMayComeIndentedAndInPieces) {
     Watching w;
     const std::string text =
         "{\n  \"rev\": 42,\n  \"all\": false,\n  \"targets\": [\n    " + one + "\n  ]\n}\n";
@@ -70,48 +75,48 @@
         w.discovery.say(*w.discovery.peers[0], text.substr(i, 7));
         w.pass(1ms);
     }
-    ASSERT_TRUE(w.told(1));
+    ASSERT_TRUE(w.received(1));
     EXPECT_EQ(w.lists[0].revision, 42);
     EXPECT_EQ(w.discovery.asked.size(), 1u) << "nothing was wrong with it";
 }
 
-TEST(Watch, AfterAnObjectThatCannotBeReadTheWholeListIsAskedForAtOnce) {
+TEST(DiscoveryWatch, AfterAMalformedListTheCompleteListIsRequestedAtOnce) {
     for (const char* bad :
          {R"({"rev":42,"all":true,"targets":[{"uid":}]})", "noise", R"({"rev":"x"})"}) {
         Watching w(60s);
         w.discovery.say(Discovery::list(42, false, one));
-        ASSERT_TRUE(w.told(1));
+        ASSERT_TRUE(w.received(1));
         w.discovery.say(bad);
-        ASSERT_TRUE(w.asked(2)) << "without any wait: " << bad;
-        EXPECT_EQ(w.discovery.asked[1], whole);
+        ASSERT_TRUE(w.requested(2)) << "without a backoff: " << bad;
+        EXPECT_EQ(w.discovery.asked[1], complete_list_request);
         w.discovery.say(Discovery::list(43, true, one));
-        EXPECT_TRUE(w.told(2));
+        EXPECT_TRUE(w.received(2));
     }
 }
 
-TEST(Watch, AnOlderRevisionAndAListOfNobodyAreBelievedOnlyTheSecondTime) {
+TEST(DiscoveryWatch, AnOlderRevisionAndAnEmptyListAreAcceptedOnceConfirmed) {
     for (const std::string& odd : {Discovery::list(17, true, one), Discovery::list(44, true, "")}) {
         Watching w;
         w.discovery.say(odd);
-        ASSERT_TRUE(w.asked(2));
-        EXPECT_EQ(w.discovery.asked[1], whole);
+        ASSERT_TRUE(w.requested(2));
+        EXPECT_EQ(w.discovery.asked[1], complete_list_request);
         EXPECT_TRUE(w.lists.empty());
         w.discovery.say(odd);
-        EXPECT_TRUE(w.told(1));
+        EXPECT_TRUE(w.received(1));
     }
     Watching w;
     w.discovery.say(Discovery::list(17, false, one));
-    ASSERT_TRUE(w.asked(2));
+    ASSERT_TRUE(w.requested(2));
     w.discovery.say(Discovery::list(45, true, one));
-    ASSERT_TRUE(w.told(1));
+    ASSERT_TRUE(w.received(1));
     EXPECT_EQ(w.lists[0].revision, 45) << "the truth";
 }
 
-TEST(Watch, SilenceIsSeenAndBytesThatMakeNoObjectAreNoLife) {
+TEST(DiscoveryWatch, InactivityIsDetectedAndIncompleteObjectsAreNoActivity) {
     Watching w;
     w.discovery.say(Discovery::list(42, false, one));
-    ASSERT_TRUE(w.told(1));
-    for (int i = 0; i < 24; ++i) {  // empty lines are
+    ASSERT_TRUE(w.received(1));
+    for (int i = 0; i < 24; ++i) {  // empty lines are activity
         w.pass(50ms);
         w.discovery.say("");
     }
@@ -125,31 +130,31 @@
     EXPECT_EQ(w.discovery.asked[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
 }
 
-TEST(Watch, AServiceThatTakesTheCallAndSaysNothingIsCalledAgain) {
+TEST(DiscoveryWatch, AServiceThatAcceptsAndSendsNothingIsCalledAgain) {
     Watching w(10ms, 200ms);
-    ASSERT_TRUE(w.asked(2)) << "the first object is due at once";
-    ASSERT_TRUE(w.asked(3));
+    ASSERT_TRUE(w.requested(2)) << "the first list is due within its timeout";
+    ASSERT_TRUE(w.requested(3));
     w.discovery.say(Discovery::list(42, false, one));
-    EXPECT_TRUE(w.told(1));
+    EXPECT_TRUE(w.received(1));
 }
 
-TEST(Watch, OneThatEndsInsteadOfTellingIsFollowedAtOnce) {
+TEST(DiscoveryWatch, AStableWatchThatEndsIsResumedAtOnce) {
     Watching w(60s);
     w.discovery.say(Discovery::list(42, false, one));
-    ASSERT_TRUE(w.told(1));
+    ASSERT_TRUE(w.received(1));
     w.discovery.peers[0]->stream.close();
-    ASSERT_TRUE(w.asked(2)) << "without any wait";
+    ASSERT_TRUE(w.requested(2)) << "without a backoff";
     EXPECT_EQ(w.discovery.asked[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
 }
 
-TEST(Watch, AServiceThatEndsEachWatchIsNotCalledWithoutAPause) {
+TEST(DiscoveryWatch, AServiceThatEndsEachWatchIsCalledWithBackoff) {
     Watching w(100ms, 10s, 10s);
     w.discovery.first = Discovery::list(42, false, one);
     const auto from = event::Loop::clock();
     w.discovery.say(w.discovery.first);
     for (std::size_t n = 1; n <= 4; ++n) {
-        ASSERT_TRUE(w.told(n));
+        ASSERT_TRUE(w.received(n));
         w.discovery.peers.back()->stream.close();
     }
-    EXPECT_GE(event::Loop::clock() - from, 500ms) << "100, 200 and 200 ms between them";
+    EXPECT_GE(event::Loop::clock() - from, 500ms) << "backoffs of 100, 200 and 200 ms";
 }
