--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -60,9 +60,10 @@
     upstream_ = std::make_unique<upstream_http::Upstream>(
         loop, config, static_cast<upstream_http::AttemptCallbacks&>(*this));
     if (config.has_peers())
-        peers_ = std::make_unique<peers::Peers>(loop, config, [this](int rank, std::string bytes) {
-            core_->on_peer_message(loop_.now(), {rank, std::move(bytes)});
-        });
+        peers_ = std::make_unique<peers::EnvelopeTransport>(
+            loop, config, [this](int rank, std::string bytes) {
+                core_->on_peer_message(loop_.now(), {rank, std::move(bytes)});
+            });
     frontend::http::Front::Hooks hooks;
     hooks.description = [this] { return description_; };
     hooks.record = [this](const frontend::http::Record& r) { record(r); };
@@ -178,7 +179,8 @@
         {"sent", whole(p.sent)}, {"received", whole(p.received)}, {"not_sent", whole(p.lost)}};
     for (std::size_t i = 1; i < p.dropped.size(); ++i)
         if (p.dropped[i] > 0)
-            fields.push_back({peers::to_string(static_cast<peers::Drop>(i)), whole(p.dropped[i])});
+            fields.push_back(
+                {peers::to_string(static_cast<peers::DropReason>(i)), whole(p.dropped[i])});
     log_.write(log::Level::info, "peers", fields);
 }
 
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -14,7 +14,7 @@
 #include "event/token_timers.h"
 #include "frontend/http/front.h"
 #include "log/log.h"
-#include "peers/peers.h"
+#include "peers/envelope_transport.h"
 #include "registry/book.h"
 #include "upstream/http/upstream.h"
 
@@ -77,7 +77,7 @@
     bool reload_again_ = false;
     std::unique_ptr<core::RequestCoordinator> core_;
     std::unique_ptr<upstream_http::Upstream> upstream_;
-    std::unique_ptr<peers::Peers> peers_;
+    std::unique_ptr<peers::EnvelopeTransport> peers_;
     std::unique_ptr<frontend::http::Front> front_;
     std::unique_ptr<discovery::EndpointDiscovery> discovery_;
 };
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -57,7 +57,7 @@
     upstream_ = std::make_unique<upstream_resp::Upstream>(
         loop, upstream, static_cast<upstream_resp::AttemptCallbacks&>(*this));
     if (config_.peer_listen && config_.settings.may_message_peers)
-        peers_ = std::make_unique<peers::PlainPeers>(
+        peers_ = std::make_unique<peers::RawTransport>(
             loop, *config_.peer_listen, config_.peers, config_.peers_all, config_.settings.rank,
             [this](int rank, std::string bytes) {
                 core_->on_peer_message(now(), {rank, std::move(bytes)});
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -13,7 +13,7 @@
 #include "event/token_timers.h"
 #include "frontend/resp/front.h"
 #include "log/log.h"
-#include "peers/plain.h"
+#include "peers/raw_transport.h"
 #include "platform/config.h"
 #include "upstream/resp/upstream.h"
 
@@ -73,7 +73,7 @@
     event::TokenTimers timers_;
     std::unique_ptr<core::RequestCoordinator> core_;
     std::unique_ptr<upstream_resp::Upstream> upstream_;
-    std::unique_ptr<peers::PlainPeers> peers_;
+    std::unique_ptr<peers::RawTransport> peers_;
     std::unique_ptr<frontend::resp::Front> front_;
     std::unique_ptr<discovery::DiscoveryWatch> discovery_watch_;
     bool draining_ = false;
--- a/tests/gateway/fleet_test.cpp
+++ b/tests/gateway/fleet_test.cpp
@@ -59,7 +59,7 @@
     EXPECT_EQ(bad, 0);
 }
 
-TEST(Peers, OnlyTheFleetsOwnDatagramsArrive) {
+TEST(EnvelopeTransport, OnlyTheFleetsOwnDatagramsAreAccepted) {
     event::Loop loop;
     const auto config_of = [](int rank) {
         auto c = std::make_unique<config::Config>();
@@ -75,15 +75,16 @@
     };
     const auto a = config_of(0), b = config_of(1);
     std::vector<std::string> got;
-    peers::Peers first(loop, *a, [&](int rank, std::string bytes) {
+    peers::EnvelopeTransport first(loop, *a, [&](int rank, std::string bytes) {
         got.push_back(std::to_string(rank) + bytes);
     });
-    peers::Peers second(loop, *b, [](int, std::string) {});
+    peers::EnvelopeTransport second(loop, *b, [](int, std::string) {});
     const std::string to = config::parse_endpoint(a->peers().peer(0).address())->ip;
     second.send(0, "hello");
-    send_datagram(to, 7947,
-                  peers::seal("forged", 1, "birds"));  // from an address that is not the peer's
-    send_datagram(to, 7947, peers::seal("other", 1, "fish"));
+    send_datagram(
+        to, 7947,
+        peers::encode_envelope("forged", 1, "birds"));  // from an address that is not the peer's
+    send_datagram(to, 7947, peers::encode_envelope("other", 1, "fish"));
     send_datagram(to, 7947, "garbage");
     send_datagram(to, 7947, std::string(3000, 'x'));
     second.send(-1, "all");
@@ -91,9 +92,9 @@
     loop.run();
     EXPECT_EQ(got, (std::vector<std::string>{"1hello", "1all"}));
     const auto& dropped = first.stats().dropped;
-    EXPECT_EQ(dropped[static_cast<std::size_t>(peers::Drop::elsewhere)], 1u);
-    EXPECT_EQ(dropped[static_cast<std::size_t>(peers::Drop::other_fleet)], 1u);
-    EXPECT_EQ(dropped[static_cast<std::size_t>(peers::Drop::not_ours)], 2u);
+    EXPECT_EQ(dropped[static_cast<std::size_t>(peers::DropReason::address_mismatch)], 1u);
+    EXPECT_EQ(dropped[static_cast<std::size_t>(peers::DropReason::fleet_mismatch)], 1u);
+    EXPECT_EQ(dropped[static_cast<std::size_t>(peers::DropReason::foreign_protocol)], 2u);
 }
 
 TEST(Fleet, AnAccountOutsideThisInstancesSetIsAnswered421) {
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -3,8 +3,8 @@
 #include "discovery/endpoint_list.h"
 #include "discovery/start_time_converter.h"
 #include "http/parser.h"
-#include "peers/peers.h"
-#include "upstream/http/load_report.h"
+#include "peers/envelope.h"
+#include "upstream/http/upstream.h"
 
 using namespace silverreach;
 using namespace silverreach::http;
@@ -263,18 +263,21 @@
         << "a start in the future is now";
 }
 
-TEST(Envelope, WhatIsNotOursIsDroppedAndNamed) {
+TEST(Envelope, ForeignDatagramsAreDroppedWithTheReason) {
     using namespace silverreach::peers;
-    const std::string sealed = seal("hello", 2, "birds");
-    EXPECT_EQ(open(sealed, "birds", 3).payload, "hello");
-    EXPECT_EQ(open(sealed, "birds", 3).rank, 2);
-    EXPECT_EQ(open(sealed, "fish", 3).drop, Drop::other_fleet);
-    EXPECT_EQ(open(sealed, "birds", 2).drop, Drop::unknown_rank);
-    EXPECT_EQ(open(sealed.substr(0, sealed.size() - 1), "birds", 3).drop, Drop::cut_short);
-    EXPECT_EQ(open(sealed + "x", "birds", 3).drop, Drop::cut_short);
-    EXPECT_EQ(open(sealed.substr(0, 9), "birds", 3).drop, Drop::cut_short);
-    EXPECT_EQ(open("GET / HTTP/1.1", "birds", 3).drop, Drop::not_ours);
-    std::string other = sealed;
+    const std::string datagram = encode_envelope("hello", 2, "birds");
+    EXPECT_EQ(decode_envelope(datagram, "birds", 3).payload, "hello");
+    EXPECT_EQ(decode_envelope(datagram, "birds", 3).rank, 2);
+    EXPECT_EQ(decode_envelope(datagram, "fish", 3).drop_reason, DropReason::fleet_mismatch);
+    EXPECT_EQ(decode_envelope(datagram, "birds", 2).drop_reason, DropReason::unknown_rank);
+    EXPECT_EQ(decode_envelope(datagram.substr(0, datagram.size() - 1), "birds", 3).drop_reason,
+              DropReason::truncated);
+    EXPECT_EQ(decode_envelope(datagram + "x", "birds", 3).drop_reason, DropReason::truncated);
+    EXPECT_EQ(decode_envelope(datagram.substr(0, 9), "birds", 3).drop_reason,
+              DropReason::truncated);
+    EXPECT_EQ(decode_envelope("GET / HTTP/1.1", "birds", 3).drop_reason,
+              DropReason::foreign_protocol);
+    std::string other = datagram;
     other[4] = 9;
-    EXPECT_EQ(open(other, "birds", 3).drop, Drop::other_version);
+    EXPECT_EQ(decode_envelope(other, "birds", 3).drop_reason, DropReason::version_mismatch);
 }
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -435,7 +435,7 @@
         EXPECT_EQ(c->got, pong);
 }
 
-TEST(PlainPeers, BytesGoAsTheyAreAndWhatIsFromElsewhereIsDropped) {
+TEST(RawTransport, PayloadsAreSentUnchangedAndUnknownSendersAreDropped) {
     event::Loop loop;
     std::vector<config::Endpoint> at;
     for (int i = 0; i < 3; ++i) {
@@ -448,11 +448,11 @@
     const auto note = [&](int rank, std::string bytes) {
         got.emplace_back(rank, std::move(bytes));
     };
-    peers::PlainPeers a(loop, at[0], at, std::nullopt, 0, note),
+    peers::RawTransport a(loop, at[0], at, std::nullopt, 0, note),
         b(loop, at[1], at, std::nullopt, 1, note);
     int third = 0;
-    peers::PlainPeers c(loop, at[2], at, std::nullopt, 2, [&](int, std::string) { ++third; });
-    peers::PlainPeers stranger(loop, {"127.0.0.1", 0, false}, {at[0]}, std::nullopt, -1, note);
+    peers::RawTransport c(loop, at[2], at, std::nullopt, 2, [&](int, std::string) { ++third; });
+    peers::RawTransport stranger(loop, {"127.0.0.1", 0, false}, {at[0]}, std::nullopt, -1, note);
     a.send(1, std::string("\0\x01 bytes", 8));
     a.send(-1, "all");
     a.send(1, std::string(257, 'x'));
