--- a/bench/parts_bench.cpp
+++ b/bench/parts_bench.cpp
@@ -5,7 +5,8 @@
 
 #include <memory>
 
-#include "accounts/journal.h"
+#include "accounts/change_log.h"
+#include "accounts/registry.h"
 #include "core/request_coordinator.h"
 #include "frontend/http/translate.h"
 #include "openapi/description.h"
@@ -168,22 +169,23 @@
 std::string log_of(std::uint64_t keys, const accounts::Pepper& pepper) {
     std::string log(accounts::log_magic);
     std::uint64_t version = 0;
-    const auto add = [&](accounts::Deed deed) {
-        log += accounts::record_of({++version, accounts::Wall(1), std::move(deed)});
+    const auto add = [&](accounts::Operation operation) {
+        log += accounts::encode_record({++version, accounts::UnixTime(1), std::move(operation)});
     };
     add(accounts::AddPlan{"basic"});
     for (std::uint64_t i = 0; i < keys; ++i) {
         if (i % 10 == 0) add(accounts::PutAccount{fmt::format("account{}", i / 10), "basic"});
         const std::string text = key_number(i);
-        add(accounts::IssueKey{std::string(accounts::look_at(text).id),
-                               fmt::format("account{}", i / 10), accounts::hash_of(pepper, text),
-                               accounts::Wall(1), accounts::never});
+        add(accounts::IssueKey{std::string(accounts::parse_key(text).id),
+                               fmt::format("account{}", i / 10), accounts::hash_key(pepper, text),
+                               accounts::UnixTime(1), accounts::never});
     }
     return log;
 }
 std::unique_ptr<accounts::Registry> registry_of(const std::string& log) {
     auto registry = std::make_unique<accounts::Registry>(accounts::Pepper{});
-    for (const auto& change : accounts::recover(log, accounts::slot_of({1, log.size()})).changes)
+    for (const auto& change :
+         accounts::recover_log(log, accounts::encode_marker_slot({1, log.size()})).changes)
         registry->apply(change);
     return registry;
 }
@@ -203,8 +205,8 @@
         texts.push_back(key_number(i * 977 % static_cast<std::uint64_t>(state.range(0))));
     std::size_t i = 0;
     for (auto _ : state) {
-        const auto served = registry->look_up(texts[i++ % texts.size()], accounts::Wall(5));
-        if (served.verdict != accounts::Verdict::served) state.SkipWithError("not served");
+        const auto served = registry->look_up(texts[i++ % texts.size()], accounts::UnixTime(5));
+        if (served.status != accounts::KeyStatus::valid) state.SkipWithError("not served");
     }
 }
 BENCHMARK(look_up_key)->Arg(10)->Arg(1000)->Arg(1'000'000);
@@ -212,13 +214,13 @@
 void hash_alone(benchmark::State& state) {
     const std::string text = key_number(1);
     for (auto _ : state)
-        benchmark::DoNotOptimize(accounts::hash_of({}, text));
+        benchmark::DoNotOptimize(accounts::hash_key({}, text));
 }
 BENCHMARK(hash_alone);
 void shape_alone(benchmark::State& state) {
     const std::string text = key_number(1);
     for (auto _ : state)
-        benchmark::DoNotOptimize(accounts::look_at(text));
+        benchmark::DoNotOptimize(accounts::parse_key(text));
 }
 BENCHMARK(shape_alone);
 }  // namespace
--- a/src/accounts/key.cpp
+++ b/src/accounts/key.cpp
@@ -6,57 +6,69 @@
 
 namespace silverreach::accounts {
 namespace {
-constexpr std::string_view prefix = "srk_", letters = "0123456789abcdefghjkmnpqrstvwxyz";
-
-// Five bits a letter, from the first byte on.
-std::string spell(const std::uint8_t* bytes, std::size_t count) {
-    std::string out;
-    unsigned bits = 0, have = 0;
-    for (; out.size() < count; have -= 5) {
-        if (have < 5) bits = bits << 8 | *bytes++, have += 8;
-        out.push_back(letters[bits >> (have - 5) & 31]);
+constexpr std::string_view prefix = "srk_";
+constexpr std::string_view alphabet = "0123456789abcdefghjkmnpqrstvwxyz";
+constexpr unsigned bits_per_letter = 5;
+constexpr std::size_t id_random_bytes = 7;
+
+const std::uint8_t* bytes_of(std::string_view text) {
+    return reinterpret_cast<const std::uint8_t*>(text.data());
+}
+
+// `count` letters from the bytes' bits, from the first byte on.
+std::string encode_base32(const std::uint8_t* bytes, std::size_t count) {
+    std::string text;
+    unsigned bits = 0;
+    unsigned bit_count = 0;
+    while (text.size() < count) {
+        if (bit_count < bits_per_letter) {
+            bits = bits << 8 | *bytes++;
+            bit_count += 8;
+        }
+        bit_count -= bits_per_letter;
+        text.push_back(alphabet[bits >> bit_count & 31]);
     }
-    return out;
+    return text;
 }
-std::string check_of(std::string_view text) {
-    std::uint8_t hash[crypto_generichash_BYTES_MIN];
-    crypto_generichash(hash, sizeof hash, reinterpret_cast<const std::uint8_t*>(text.data()),
-                       text.size(), nullptr, 0);
-    return spell(hash, check_length);
+bool is_base32(std::string_view text) {
+    return text.find_first_not_of(alphabet) == std::string_view::npos;
 }
-bool spelled(std::string_view text) {
-    return std::all_of(text.begin(), text.end(),
-                       [](char c) { return letters.find(c) != std::string_view::npos; });
+std::string checksum_of(std::string_view text) {
+    std::array<std::uint8_t, crypto_generichash_BYTES_MIN> hash{};
+    crypto_generichash(hash.data(), hash.size(), bytes_of(text), text.size(), nullptr, 0);
+    return encode_base32(hash.data(), checksum_length);
 }
 }  // namespace
 
-KeyShape look_at(std::string_view text) {
-    constexpr std::size_t separator = prefix.size() + id_length;
-    if (text.size() != key_length || !text.starts_with(prefix) || text[separator] != '_') return {};
-    const std::string_view id = text.substr(prefix.size(), id_length),
-                           rest = text.substr(separator + 1);
-    if (!spelled(id) || !spelled(rest)) return {};
-    const std::size_t checked = key_length - check_length;
-    if (text.substr(checked) != check_of(text.substr(0, checked))) return {Shape::mistyped, {}};
-    return {Shape::sound, id};
+ParsedKey parse_key(std::string_view text) {
+    constexpr std::size_t separator_at = prefix.size() + id_length;
+    if (text.size() != key_length || !text.starts_with(prefix) || text[separator_at] != '_')
+        return {};
+    const std::string_view id = text.substr(prefix.size(), id_length);
+    if (!is_base32(id) || !is_base32(text.substr(separator_at + 1))) return {};
+    constexpr std::size_t checksum_at = key_length - checksum_length;
+    if (text.substr(checksum_at) != checksum_of(text.substr(0, checksum_at)))
+        return {KeyFormat::checksum_mismatch, {}};
+    return {KeyFormat::valid, id};
 }
 
 std::string make_key(const Bytes32& random) {
     std::string text(prefix);
-    text += spell(random.data(), id_length);
+    text += encode_base32(random.data(), id_length);
     text += "_";
-    text += spell(random.data() + 7, secret_length);
-    return text + check_of(text);
+    text += encode_base32(random.data() + id_random_bytes, secret_length);
+    return text + checksum_of(text);
 }
 
-Hash hash_of(const Pepper& pepper, std::string_view text) {
-    Hash hash;
-    crypto_generichash(hash.data(), hash.size(), reinterpret_cast<const std::uint8_t*>(text.data()),
-                       text.size(), pepper.data(), pepper.size());
+KeyHash hash_key(const Pepper& pepper, std::string_view text) {
+    KeyHash hash;
+    crypto_generichash(hash.data(), hash.size(), bytes_of(text), text.size(), pepper.data(),
+                       pepper.size());
     return hash;
 }
-bool same(const Hash& a, const Hash& b) {
-    return sodium_memcmp(a.data(), b.data(), a.size()) == 0;
+
+bool constant_time_equal(const KeyHash& left, const KeyHash& right) {
+    return sodium_memcmp(left.data(), right.data(), left.size()) == 0;
 }
 
 }  // namespace silverreach::accounts
--- a/src/accounts/key.h
+++ b/src/accounts/key.h
@@ -1,42 +1,44 @@
-// The text of a key, and how one is kept. No I/O.
+// The text of an API key, and the hash that is stored of it. No I/O.
 //
-//   srk_<id: 10>_<secret: 32><check: 4>       letters and digits of Crockford's base32, lower case
+//   srk_<id: 10>_<secret: 32><checksum: 4>    letters and digits of Crockford's base32, lower case
 //
-// The id is public: it is in logs and lists. The check part is a hash of all before it, so that a
-// mistyped key is told from an unknown one without a look at any list. A key is kept only as a
-// keyed hash (BLAKE2b under the registry's own secret), and compared in constant time.
+// The id is public: it appears in logs and lists. The checksum covers all before it, so that a
+// mistyped key can be distinguished from an unknown one without a lookup. Only a keyed hash of a
+// key is stored (BLAKE2b under the registry's pepper).
 #pragma once
 
 #include <array>
 #include <cstdint>
-#include <optional>
 #include <string>
 #include <string_view>
 
 namespace silverreach::accounts {
 
 using Bytes32 = std::array<std::uint8_t, 32>;
-using Hash = Bytes32;
-using Pepper = Bytes32;  // the registry's secret; whoever has it and the hashes can test guesses
+using KeyHash = Bytes32;
+using Pepper = Bytes32;  // the registry's secret; with it and the hashes, guesses can be tested
 
-inline constexpr std::size_t id_length = 10, secret_length = 32, check_length = 4;
-inline constexpr std::size_t key_length = 4 + id_length + 1 + secret_length + check_length;
+inline constexpr std::size_t id_length = 10;
+inline constexpr std::size_t secret_length = 32;
+inline constexpr std::size_t checksum_length = 4;
+inline constexpr std::size_t key_length = 4 + id_length + 1 + secret_length + checksum_length;
 
-enum class Shape {
-    sound,
+enum class KeyFormat {
+    valid,
     malformed,
-    mistyped
+    checksum_mismatch
 };
-struct KeyShape {
-    Shape shape = Shape::malformed;
-    std::string_view id;  // of a sound key; points into the text
+struct ParsedKey {
+    KeyFormat format = KeyFormat::malformed;
+    std::string_view id;  // of a valid key; points into the text
 };
-KeyShape look_at(std::string_view text);
+ParsedKey parse_key(std::string_view text);
 
-// A key from 32 random bytes: 7 for the id's letters, 20 for the secret's.
+// The text of a key from 32 random bytes: 7 for the id, 20 for the secret.
 std::string make_key(const Bytes32& random);
 
-Hash hash_of(const Pepper& pepper, std::string_view text);
-bool same(const Hash& a, const Hash& b);  // in constant time
+KeyHash hash_key(const Pepper& pepper, std::string_view text);
+// Takes the same time whatever the hashes are.
+bool constant_time_equal(const KeyHash& left, const KeyHash& right);
 
 }  // namespace silverreach::accounts
--- a/src/accounts/registry.cpp
+++ b/src/accounts/registry.cpp
@@ -1,177 +1,232 @@
 #include "accounts/registry.h"
 
-#include <algorithm>
 #include <array>
 
 namespace silverreach::accounts {
 namespace {
-constexpr std::array<std::string_view, 5> causes = {"none", "asked", "leaked", "closed", "merged"};
-constexpr std::size_t most_name = 200;
+constexpr std::size_t max_name_length = 200;
 
-// Names go into logs, files and messages as they are.
-bool sound_name(std::string_view name) {
-    return !name.empty() && name.size() <= most_name &&
+// Names are written to logs, files and messages unescaped.
+bool is_valid_name(std::string_view name) {
+    return !name.empty() && name.size() <= max_name_length &&
            std::all_of(name.begin(), name.end(), [](unsigned char c) {
                return c > 0x20 && c < 0x7F && c != '"' && c != '\\';
            });
 }
-bool sound_id(std::string_view id) {
-    return id.size() == id_length && sound_name(id);
-}
-}  // namespace
 
-std::string_view to_string(Cause cause) {
-    return causes[static_cast<std::size_t>(cause)];
+ChangeError invalid_argument(std::string message) {
+    return {ChangeErrorCode::invalid_argument, std::move(message)};
 }
-std::optional<Cause> cause_of(std::string_view name) {
-    for (std::size_t i = 0; i < causes.size(); ++i)
-        if (causes[i] == name) return static_cast<Cause>(i);
-    return std::nullopt;
+ChangeError already_exists(std::string message) {
+    return {ChangeErrorCode::already_exists, std::move(message)};
+}
+ChangeError not_found(std::string message) {
+    return {ChangeErrorCode::not_found, std::move(message)};
 }
-std::string_view to_string(Verdict verdict) {
+ChangeError failed_precondition(std::string message) {
+    return {ChangeErrorCode::failed_precondition, std::move(message)};
+}
+}  // namespace
+
+std::string_view to_string(KeyStatus status) {
     constexpr std::array<std::string_view, 6> names = {"served",  "malformed", "mistyped",
                                                        "unknown", "early",     "cut off"};
-    return names[static_cast<std::size_t>(verdict)];
+    return names[static_cast<std::size_t>(status)];
 }
 
-std::string Registry::check(const Change& change) const {
+std::optional<ChangeError> Registry::check(const Change& change) const {
     if (change.version != version_ + 1)
-        return "version " + std::to_string(change.version) + " does not follow " +
-               std::to_string(version_);
-    return why_not(change.deed, change.at);
+        return ChangeError{ChangeErrorCode::version_mismatch,
+                           "version " + std::to_string(change.version) + " does not follow " +
+                               std::to_string(version_)};
+    return std::visit([&](const auto& operation) { return validate(operation, change.at); },
+                      change.operation);
 }
-std::string Registry::apply(const Change& change) {
-    if (std::string why = check(change); !why.empty()) return why;
-    make(change.deed, change.at);
+
+std::optional<ChangeError> Registry::apply(const Change& change) {
+    if (auto error = check(change)) return error;
+    std::visit([&](const auto& operation) { execute(operation, change.at); }, change.operation);
     version_ = change.version;
-    latest_ = std::max(latest_, change.at);
-    return {};
-}
-
-std::string Registry::why_not(const Deed& deed, Wall at) const {
-    const auto account = [&](const std::string& name) -> const Account* {
-        const auto it = accounts_.find(name);
-        return it == accounts_.end() ? nullptr : &it->second;
-    };
-    const auto fresh_id = [&](const std::string& id) -> std::string {
-        if (!sound_id(id))
-            return "key id '" + id + "' is not of " + std::to_string(id_length) + " letters";
-        return keys_.contains(id) ? "key " + id + " exists already" : "";
-    };
-    if (const auto* d = std::get_if<AddPlan>(&deed)) {
-        if (!sound_name(d->plan))
-            return "a plan's name is 1 to 200 printable characters without spaces";
-        return plans_.contains(d->plan) ? "plan " + d->plan + " exists already" : "";
-    }
-    if (const auto* d = std::get_if<RemovePlan>(&deed)) {
-        if (!plans_.contains(d->plan)) return "no plan " + d->plan;
-        const bool used = std::any_of(accounts_.begin(), accounts_.end(),
-                                      [&](const auto& a) { return a.second.plan == d->plan; });
-        if (!used && d->successor.empty()) return "";
-        if (d->successor.empty())
-            return "plan " + d->plan + " is in use: name the plan that its accounts go over to";
-        return d->successor == d->plan || !plans_.contains(d->successor)
-                   ? "no plan " + d->successor + " to go over to"
-                   : "";
-    }
-    if (const auto* d = std::get_if<PutAccount>(&deed)) {
-        if (!sound_name(d->account))
-            return "an account's name is 1 to 200 printable characters without spaces";
-        if (!plans_.contains(d->plan)) return "no plan " + d->plan;
-        const Account* a = account(d->account);
-        return a && !a->merged_into.empty()
-                   ? "account " + d->account + " is merged into " + a->merged_into
-                   : "";
-    }
-    if (const auto* d = std::get_if<MergeAccounts>(&deed)) {
-        const Account *from = account(d->from), *into = account(d->into);
-        if (!from) return "no account " + d->from;
-        if (!into) return "no account " + d->into;
-        if (!from->merged_into.empty())
-            return "account " + d->from + " is merged into " + from->merged_into + " already";
-        return counts_for(d->into) == d->from
-                   ? "account " + d->into + " counts for " + d->from + " itself"
-                   : "";
-    }
-    if (const auto* d = std::get_if<IssueKey>(&deed)) {
-        if (std::string why = fresh_id(d->id); !why.empty()) return why;
-        if (!account(d->account)) return "no account " + d->account;
-        return d->cutoff <= d->start ? "the key would end before it starts" : "";
-    }
-    if (const auto* d = std::get_if<RotateKey>(&deed)) {
-        const auto it = keys_.find(d->id);
-        if (it == keys_.end()) return "no key " + d->id;
-        if (it->second.cutoff <= at) return "key " + d->id + " has ended; issue a new one";
-        if (!it->second.successor.empty())
-            return "key " + d->id + " is rotated already, to " + it->second.successor;
-        if (d->overlap < Wall(0)) return "an overlap of 0 or more";
-        return fresh_id(d->successor);
-    }
-    const auto& d = std::get<RevokeKey>(deed);
-    const auto it = keys_.find(d.id);
-    if (it == keys_.end()) return "no key " + d.id;
-    if (d.cause == Cause::none) return "a cause of revocation";
-    return it->second.cutoff <= d.cutoff ? "key " + d.id + " ends before that already" : "";
-}
-
-void Registry::make(const Deed& deed, Wall at) {
-    if (const auto* d = std::get_if<AddPlan>(&deed)) plans_[d->plan] = version_ + 1;
-    if (const auto* d = std::get_if<RemovePlan>(&deed)) {
-        for (auto& [name, a] : accounts_)
-            if (a.plan == d->plan) a.plan = d->successor;
-        plans_.erase(d->plan);
-    }
-    if (const auto* d = std::get_if<PutAccount>(&deed)) accounts_[d->account].plan = d->plan;
-    if (const auto* d = std::get_if<MergeAccounts>(&deed)) accounts_[d->from].merged_into = d->into;
-    if (const auto* d = std::get_if<IssueKey>(&deed))
-        keys_[d->id] = {d->account, d->hash, d->start, d->cutoff, Cause::none, {}};
-    if (const auto* d = std::get_if<RotateKey>(&deed)) {
-        Key& old = keys_.at(d->id);
-        // The new one lasts as long as the old one was to; the old one's end only ever comes
-        // nearer.
-        const Key fresh{old.account, d->hash, at, old.cutoff, Cause::none, {}};
-        old.cutoff = std::min(old.cutoff, at + std::min(d->overlap, Wall(Wall::max() - at)));
-        old.successor = d->successor;
-        keys_[d->successor] = fresh;
-    }
-    if (const auto* d = std::get_if<RevokeKey>(&deed)) {
-        Key& key = keys_.at(d->id);
-        key.cutoff = d->cutoff, key.cause = d->cause;
+    advance_clock(change.at);
+    return std::nullopt;
+}
+
+// ---- validation ----
+
+Registry::Error Registry::validate(const AddPlan& operation, UnixTime) const {
+    if (!is_valid_name(operation.plan))
+        return invalid_argument("a plan's name is 1 to 200 printable characters without spaces");
+    if (plans_.contains(operation.plan))
+        return already_exists("plan " + operation.plan + " exists already");
+    return std::nullopt;
+}
+
+Registry::Error Registry::validate(const RemovePlan& operation, UnixTime) const {
+    const auto& [plan, successor] = operation;
+    if (!plans_.contains(plan)) return not_found("no plan " + plan);
+    const bool in_use =
+        std::any_of(accounts_.begin(), accounts_.end(),
+                    [&name = plan](const auto& entry) { return entry.second.plan == name; });
+    if (successor.empty()) {
+        if (!in_use) return std::nullopt;
+        return failed_precondition("plan " + plan +
+                                   " is in use: name the plan that its accounts go over to");
     }
+    if (successor == plan || !plans_.contains(successor))
+        return not_found("no plan " + successor + " to go over to");
+    return std::nullopt;
+}
+
+Registry::Error Registry::validate(const PutAccount& operation, UnixTime) const {
+    if (!is_valid_name(operation.account))
+        return invalid_argument(
+            "an account's name is 1 to 200 printable characters without spaces");
+    if (!plans_.contains(operation.plan)) return not_found("no plan " + operation.plan);
+    const Account* account = find_account(operation.account);
+    if (account && !account->merged_into.empty())
+        return failed_precondition("account " + operation.account + " is merged into " +
+                                   account->merged_into);
+    return std::nullopt;
+}
+
+Registry::Error Registry::validate(const MergeAccounts& operation, UnixTime) const {
+    const Account* from = find_account(operation.from);
+    if (!from) return not_found("no account " + operation.from);
+    if (!find_account(operation.into)) return not_found("no account " + operation.into);
+    if (!from->merged_into.empty())
+        return failed_precondition("account " + operation.from + " is merged into " +
+                                   from->merged_into + " already");
+    if (resolve_merges(operation.into) == operation.from)
+        return failed_precondition("account " + operation.into + " counts for " + operation.from +
+                                   " itself");
+    return std::nullopt;
+}
+
+Registry::Error Registry::validate(const IssueKey& operation, UnixTime) const {
+    if (auto error = validate_new_key_id(operation.id)) return error;
+    if (!find_account(operation.account)) return not_found("no account " + operation.account);
+    if (operation.valid_until <= operation.valid_from)
+        return invalid_argument("the key would end before it starts");
+    return std::nullopt;
+}
+
+Registry::Error Registry::validate(const RotateKey& operation, UnixTime at) const {
+    const auto it = keys_.find(operation.id);
+    if (it == keys_.end()) return not_found("no key " + operation.id);
+    const Key& key = it->second;
+    if (key.valid_until <= at)
+        return failed_precondition("key " + operation.id + " has ended; issue a new one");
+    if (!key.successor.empty())
+        return failed_precondition("key " + operation.id + " is rotated already, to " +
+                                   key.successor);
+    if (operation.overlap < UnixTime(0)) return invalid_argument("an overlap of 0 or more");
+    return validate_new_key_id(operation.successor);
+}
+
+Registry::Error Registry::validate(const RevokeKey& operation, UnixTime) const {
+    const auto it = keys_.find(operation.id);
+    if (it == keys_.end()) return not_found("no key " + operation.id);
+    if (operation.cause == RevocationCause::none) return invalid_argument("a cause of revocation");
+    if (it->second.valid_until <= operation.valid_until)
+        return failed_precondition("key " + operation.id + " ends before that already");
+    return std::nullopt;
+}
+
+Registry::Error Registry::validate_new_key_id(const std::string& id) const {
+    if (id.size() != id_length || !is_valid_name(id))
+        return invalid_argument("key id '" + id + "' is not of " + std::to_string(id_length) +
+                                " letters");
+    if (keys_.contains(id)) return already_exists("key " + id + " exists already");
+    return std::nullopt;
+}
+
+// ---- execution, of operations that are valid ----
+
+void Registry::execute(const AddPlan& operation, UnixTime) {
+    plans_[operation.plan] = version_ + 1;
+}
+
+void Registry::execute(const RemovePlan& operation, UnixTime) {
+    for (auto& [name, account] : accounts_)
+        if (account.plan == operation.plan) account.plan = operation.successor;
+    plans_.erase(operation.plan);
+}
+
+void Registry::execute(const PutAccount& operation, UnixTime) {
+    accounts_[operation.account].plan = operation.plan;
+}
+
+void Registry::execute(const MergeAccounts& operation, UnixTime) {
+    accounts_[operation.from].merged_into = operation.into;
+}
+
+void Registry::execute(const IssueKey& operation, UnixTime) {
+    keys_[operation.id] = {operation.account,     operation.hash,        operation.valid_from,
+                           operation.valid_until, RevocationCause::none, {}};
+}
+
+// The successor expires when the old key was to. The old key's expiry only ever moves earlier.
+void Registry::execute(const RotateKey& operation, UnixTime at) {
+    Key& old_key = keys_.at(operation.id);
+    const Key successor{old_key.account,     operation.hash,        at,
+                        old_key.valid_until, RevocationCause::none, {}};
+    const UnixTime until_end_of_time = UnixTime::max() - at;
+    old_key.valid_until =
+        std::min(old_key.valid_until, at + std::min(operation.overlap, until_end_of_time));
+    old_key.successor = operation.successor;
+    keys_[operation.successor] = successor;
+}
+
+void Registry::execute(const RevokeKey& operation, UnixTime) {
+    Key& key = keys_.at(operation.id);
+    key.valid_until = operation.valid_until;
+    key.cause = operation.cause;
+}
+
+// ---- lookup ----
+
+const Account* Registry::find_account(const std::string& name) const {
+    const auto it = accounts_.find(name);
+    return it == accounts_.end() ? nullptr : &it->second;
+}
+
+std::string Registry::resolve_merges(const std::string& account) const {
+    const std::string* name = &account;
+    for (const Account* entry = find_account(*name); entry && !entry->merged_into.empty();
+         entry = find_account(*name))
+        name = &entry->merged_into;
+    return *name;
+}
+
+KeyStatus Registry::status_of(const Key& key, UnixTime now) const {
+    if (key.valid_until != never && now + clock_skew_ >= key.valid_until) return KeyStatus::expired;
+    if (now + clock_skew_ < key.valid_from) return KeyStatus::not_yet_valid;
+    return KeyStatus::valid;
 }
 
-std::string Registry::counts_for(const std::string& account) const {
-    std::string name = account;
-    for (auto it = accounts_.find(name); it != accounts_.end() && !it->second.merged_into.empty();
-         it = accounts_.find(name))
-        name = it->second.merged_into;
-    return name;
-}
-
-Served Registry::look_up(std::string_view text, Wall now) {
-    now = latest_ = std::max(latest_, now);
-    const KeyShape shape = look_at(text);
-    if (shape.shape != Shape::sound)
-        return {
-            shape.shape == Shape::mistyped ? Verdict::mistyped : Verdict::malformed, {}, {}, {}};
-    // The hash is taken whether the id is known or not: time tells nothing of which ids there are.
-    const Hash hash = hash_of(pepper_, text);
-    const auto it = keys_.find(std::string(shape.id));
-    static const Key nobody;
-    const Key& key = it == keys_.end() ? nobody : it->second;
-    const bool matches = same(hash, key.hash);
-    if (it == keys_.end() || !matches) return {Verdict::unknown, {}, {}, {}};
-    Served served{Verdict::served, {}, {}, it->first};
+KeyLookup Registry::look_up(std::string_view text, UnixTime now) {
+    advance_clock(now);
+    const ParsedKey parsed = parse_key(text);
+    if (parsed.format == KeyFormat::malformed) return {KeyStatus::malformed, {}, {}, {}};
+    if (parsed.format == KeyFormat::checksum_mismatch)
+        return {KeyStatus::checksum_mismatch, {}, {}, {}};
+    // The hash is computed and compared whether the id is known or not, so that the time taken does
+    // not reveal which ids exist.
+    static const Key unknown_key;
+    const KeyHash hash = hash_key(pepper_, text);
+    const auto it = keys_.find(std::string(parsed.id));
+    const bool known = it != keys_.end();
+    const Key& key = known ? it->second : unknown_key;
+    const bool hash_matches = constant_time_equal(hash, key.hash);
+    if (!known || !hash_matches) return {KeyStatus::unknown, {}, {}, {}};
+    KeyLookup found{status_of(key, latest_time_), {}, {}, it->first};
     auto account = accounts_.find(key.account);
     while (account != accounts_.end() && !account->second.merged_into.empty())
         account = accounts_.find(account->second.merged_into);
-    if (account != accounts_.end())
-        served.account = account->first, served.plan = account->second.plan;
-    if (key.cutoff != never && now + skew_ >= key.cutoff)
-        served.verdict = Verdict::cut_off;
-    else if (now + skew_ < key.start)
-        served.verdict = Verdict::early;
-    return served;
+    if (account == accounts_.end()) return found;
+    found.account = account->first;
+    found.plan = account->second.plan;
+    return found;
 }
 
 }  // namespace silverreach::accounts
--- a/src/accounts/registry.h
+++ b/src/accounts/registry.h
@@ -1,139 +1,112 @@
-// Accounts, plans and keys, and what a key is worth at a moment. No I/O; time is given, by the wall
-// clock.
+// Accounts, plans and keys, and whether a key is valid at a time. No I/O; time is passed in, by the
+// wall clock.
 //
-// The registry changes by changes alone, each of which is applied whole or not at all. The same
-// changes in the same order give the same registry everywhere.
+// The registry is modified by changes only, each of which is applied completely or not at all. The
+// same changes in the same order give the same registry everywhere.
 #pragma once
 
 #include <algorithm>
-#include <chrono>
 #include <map>
 #include <optional>
 #include <string>
 #include <string_view>
 #include <unordered_map>
-#include <variant>
-#include <vector>
 
-#include "accounts/key.h"
+#include "accounts/change.h"
 
 namespace silverreach::accounts {
 
-using Wall = std::chrono::milliseconds;  // since 1970
-inline constexpr Wall never = Wall::max();
-
-enum class Cause {
-    none,
-    asked,
-    leaked,
-    closed,
-    merged
-};
-std::string_view to_string(Cause cause);
-std::optional<Cause> cause_of(std::string_view name);
-
 struct Key {
     std::string account;
-    Hash hash{};
-    Wall start{0};        // not served before
-    Wall cutoff = never;  // never served from then on
-    Cause cause = Cause::none;
-    std::string successor;  // the key that replaces it
+    KeyHash hash{};
+    UnixTime valid_from{0};
+    UnixTime valid_until = never;  // exclusive
+    RevocationCause cause = RevocationCause::none;
+    std::string successor;  // the key that a rotation issued in its place
 };
 struct Account {
     std::string plan;
-    std::string merged_into;  // its use and its keys are that one's; empty: none
-};
-
-// ---- changes; each carries the moment at which it was made ----
-struct AddPlan {
-    std::string plan;
-};
-struct RemovePlan {  // its accounts go over to another
-    std::string plan, successor;
-};
-struct PutAccount {  // adds it, or moves it to another plan
-    std::string account, plan;
-};
-struct MergeAccounts {
-    std::string from, into;
-};
-struct IssueKey {
-    std::string id, account;
-    Hash hash{};
-    Wall start{0}, cutoff = never;
-};
-struct RotateKey {  // both work until the overlap ends
-    std::string id, successor;
-    Hash hash{};
-    Wall overlap{0};
-};
-struct RevokeKey {
-    std::string id;
-    Wall cutoff{0};
-    Cause cause = Cause::asked;
-};
-using Deed =
-    std::variant<AddPlan, RemovePlan, PutAccount, MergeAccounts, IssueKey, RotateKey, RevokeKey>;
-struct Change {
-    std::uint64_t version = 0;  // one more than that of the registry it applies to
-    Wall at{0};
-    Deed deed;
+    std::string merged_into;  // the account that its requests and keys count for; empty: itself
 };
 
-enum class Verdict {
-    served,
+enum class KeyStatus {
+    valid,
     malformed,
-    mistyped,
+    checksum_mismatch,
     unknown,
-    early,
-    cut_off
+    not_yet_valid,
+    expired  // also revoked
 };
-std::string_view to_string(Verdict verdict);
+// The name that `silverreach keys show` prints.
+std::string_view to_string(KeyStatus status);
 
-struct Served {
-    Verdict verdict = Verdict::unknown;
-    std::string account, plan, key_id;  // the account that counts, after merges
+struct KeyLookup {
+    KeyStatus status = KeyStatus::unknown;
+    // Of the account that counts, after merges; empty where the key is not known.
+    std::string account;
+    std::string plan;
+    std::string key_id;
 };
 
 class Registry {
   public:
-    explicit Registry(const Pepper& pepper, Wall skew = Wall(0)) : pepper_(pepper), skew_(skew) {}
+    // `clock_skew`: by how much the clocks of instances may be wrong. A key becomes valid and
+    // expires that much earlier, so that no clock within it serves a key that has expired.
+    explicit Registry(const Pepper& pepper, UnixTime clock_skew = UnixTime(0))
+        : pepper_(pepper), clock_skew_(clock_skew) {}
 
-    // Empty: applied. Else a plain word on why not, and nothing has changed.
-    std::string apply(const Change& change);
-    // What would be said, with nothing changed.
-    std::string check(const Change& change) const;
+    // Applies the change; nothing has changed where it returns an error.
+    std::optional<ChangeError> apply(const Change& change);
+    // The error that apply() would return.
+    std::optional<ChangeError> check(const Change& change) const;
 
-    // What the text is worth. Clocks may be wrong by up to the skew: a key starts that much earlier
-    // and ends that much earlier, so that no clock within it serves a key past its cutoff. A clock
-    // that steps back is not followed below the latest moment seen.
-    Served look_up(std::string_view text, Wall now);
+    // The key's account and status at `now`. A time below the latest one seen counts as that one,
+    // so a clock that steps back revives no key.
+    KeyLookup look_up(std::string_view text, UnixTime now);
 
-    // Moments before this one are not believed any more.
-    void not_before(Wall at) { latest_ = std::max(latest_, at); }
-    Wall latest() const { return latest_; }
-    void set_skew(Wall skew) { skew_ = skew; }
+    // Times below `at` count as `at` from now on.
+    void advance_clock(UnixTime at) { latest_time_ = std::max(latest_time_, at); }
+    UnixTime latest_time() const { return latest_time_; }
+    void set_clock_skew(UnixTime skew) { clock_skew_ = skew; }
 
     std::uint64_t version() const { return version_; }
     const std::unordered_map<std::string, Account>& accounts() const { return accounts_; }
-    const std::map<std::string, std::uint64_t>& plans() const {
-        return plans_;
-    }  // and the version that added each
-    const std::unordered_map<std::string, Key>& keys() const { return keys_; }
-    // The account that counts for this one: merges are followed to their end.
-    std::string counts_for(const std::string& account) const;
+    // The version that added each plan.
+    const std::map<std::string, std::uint64_t>& plans() const { return plans_; }
+    const std::unordered_map<std::string, Key>& keys() const { return keys_; }  // by id
+    // The account that `account` counts for, after all merges.
+    std::string resolve_merges(const std::string& account) const;
     const Pepper& pepper() const { return pepper_; }
 
   private:
-    std::string why_not(const Deed& deed, Wall at) const;
-    void make(const Deed& deed, Wall at);
+    using Error = std::optional<ChangeError>;
+    Error validate(const AddPlan& operation, UnixTime at) const;
+    Error validate(const RemovePlan& operation, UnixTime at) const;
+    Error validate(const PutAccount& operation, UnixTime at) const;
+    Error validate(const MergeAccounts& operation, UnixTime at) const;
+    Error validate(const IssueKey& operation, UnixTime at) const;
+    Error validate(const RotateKey& operation, UnixTime at) const;
+    Error validate(const RevokeKey& operation, UnixTime at) const;
+    Error validate_new_key_id(const std::string& id) const;
+
+    void execute(const AddPlan& operation, UnixTime at);
+    void execute(const RemovePlan& operation, UnixTime at);
+    void execute(const PutAccount& operation, UnixTime at);
+    void execute(const MergeAccounts& operation, UnixTime at);
+    void execute(const IssueKey& operation, UnixTime at);
+    void execute(const RotateKey& operation, UnixTime at);
+    void execute(const RevokeKey& operation, UnixTime at);
+
+    const Account* find_account(const std::string& name) const;
+    KeyStatus status_of(const Key& key, UnixTime now) const;
+
     Pepper pepper_;
-    Wall skew_, latest_{0};
+    UnixTime clock_skew_;
+    UnixTime latest_time_{0};
     std::uint64_t version_ = 0;
     std::map<std::string, std::uint64_t> plans_;
     std::unordered_map<std::string, Account> accounts_;
-    std::unordered_map<std::string, Key> keys_;  // by id
+    std::unordered_map<std::string, Key> keys_;
 };
 
 }  // namespace silverreach::accounts
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -41,17 +41,18 @@
     }
     if (config.has_registry()) {
         const std::string& name = config.registry();
-        registry::Book::Hooks hooks;
-        hooks.taken = [this](std::uint64_t version) {
+        registry::ReloadingKeyIndex::Callbacks callbacks;
+        callbacks.on_loaded = [this](std::uint64_t version) {
             log_.write(log::Level::warning, "registry", {{"version", whole(version)}});
         };
-        hooks.kept = [this](const std::string& why) {
-            log_.write(log::Level::error, "registry_kept", {{"why", why}});
+        callbacks.on_load_failed = [this](const std::string& reason) {
+            log_.write(log::Level::error, "registry_kept", {{"why", reason}});
         };
-        accounts_ = std::make_unique<registry::Book>(
-            loop, config, name.starts_with('/') ? name : folder_ + "/" + name, std::move(hooks));
+        key_index_ = std::make_unique<registry::ReloadingKeyIndex>(
+            loop, config, name.starts_with('/') ? name : folder_ + "/" + name,
+            std::move(callbacks));
     } else {
-        accounts_ = std::make_unique<config::Accounts>(config);
+        key_index_ = std::make_unique<config::StaticKeyIndex>(config);
     }
     const std::uint64_t seed = seed_of(config);
     core_ = std::make_unique<core::RequestCoordinator>(
@@ -82,8 +83,8 @@
     discovery_callbacks.on_unavailable = [this](const discovery::DiscoveryError& error) {
         log_.write(log::Level::warning, "hosts_unreachable", {{"why", error.message()}});
     };
-    front_ =
-        std::make_unique<frontend::http::Front>(loop, config, *accounts_, *core_, std::move(hooks));
+    front_ = std::make_unique<frontend::http::Front>(loop, config, *key_index_, *core_,
+                                                     std::move(hooks));
     discovery_ =
         discovery::start_endpoint_discovery(loop, config, folder_, std::move(discovery_callbacks));
 }
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -15,7 +15,7 @@
 #include "frontend/http/front.h"
 #include "log/log.h"
 #include "peers/envelope_transport.h"
-#include "registry/book.h"
+#include "registry/key_index.h"
 #include "upstream/http/upstream.h"
 
 namespace silverreach::cli {
@@ -69,7 +69,7 @@
     const config::Config& config_;
     std::string folder_;
     log::Log& log_;
-    std::unique_ptr<config::AccountBook> accounts_;
+    std::unique_ptr<config::KeyIndex> key_index_;
     std::shared_ptr<const openapi::Description> description_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     event::TokenTimers timers_;
--- a/src/cli/keys.cpp
+++ b/src/cli/keys.cpp
@@ -1,7 +1,6 @@
 #include "cli/keys.h"
 
 #include <fmt/format.h>
-#include <sys/time.h>
 
 #include <CLI/CLI.hpp>
 #include <ctime>
@@ -9,6 +8,7 @@
 
 #include "cli/commands.h"
 #include "registry/store.h"
+#include "registry/wall_clock.h"
 
 namespace silverreach::cli {
 namespace {
@@ -20,17 +20,14 @@
     bool dry = false, make = false;
 };
 
-Wall now() {
-    timeval t{};
-    gettimeofday(&t, nullptr);
-    return Wall(static_cast<std::int64_t>(t.tv_sec) * 1000 + t.tv_usec / 1000);
-}
-Wall of_seconds(double s) {
-    return Wall(static_cast<std::int64_t>(s * 1000));
+using registry::wall_clock_now;
+
+UnixTime of_seconds(double seconds) {
+    return UnixTime(static_cast<std::int64_t>(seconds * 1000));
 }
-std::string time_text(Wall w) {
-    if (w == never) return "never";
-    const std::time_t seconds = w.count() / 1000;
+std::string time_text(UnixTime time) {
+    if (time == never) return "never";
+    const std::time_t seconds = time.count() / 1000;
     std::tm t{};
     gmtime_r(&seconds, &t);
     char text[32];
@@ -47,17 +44,24 @@
     }
 }
 
-// Makes the change, or says with --dry-run what would be.
-int change(const Options& o, const Deed& deed, const std::string& said) {
+// Commits the operation; with --dry-run it only checks it. Empty, or why it was not made.
+std::string commit_or_check(const Options& o, registry::Store& store, const Operation& operation) {
+    const UnixTime at = wall_clock_now();
+    if (!o.dry) {
+        const auto error = store.commit(operation, at);
+        return error ? error->message : "";
+    }
+    const auto error = store.registry().check({store.registry().version() + 1, at, operation});
+    return error ? error->message : "";
+}
+
+int change(const Options& o, const Operation& operation, const std::string& said) {
     return guarded([&]() -> int {
         registry::Disk disk;
         registry::Store store(o.folder,
                               o.dry ? registry::Store::Mode::read : registry::Store::Mode::write,
                               o.make && !o.dry, disk);
-        const Wall at = now();
-        const std::string why =
-            o.dry ? store.registry().check({store.registry().version() + 1, at, deed})
-                  : store.change(deed, at);
+        const std::string why = commit_or_check(o, store, operation);
         if (!why.empty()) {
             std::cerr << why << "\n";
             return Exit::bad_answer;
@@ -69,20 +73,19 @@
 }
 
 // A fresh key; its text is printed once, after it is durable, and kept nowhere.
-int with_new_key(const Options& o,
-                 const std::function<Deed(const std::string& id, const Hash&)>& deed,
-                 const std::string& what) {
+int with_new_key(
+    const Options& o,
+    const std::function<Operation(const std::string& id, const KeyHash&)>& operation_of,
+    const std::string& what) {
     return guarded([&]() -> int {
         registry::Disk disk;
         registry::Store store(o.folder,
                               o.dry ? registry::Store::Mode::read : registry::Store::Mode::write,
                               false, disk);
         const std::string text = make_key(registry::random_bytes());
-        const std::string id(look_at(text).id);
-        const Deed made = deed(id, hash_of(store.registry().pepper(), text));
-        const std::string why =
-            o.dry ? store.registry().check({store.registry().version() + 1, now(), made})
-                  : store.change(made, now());
+        const std::string id(parse_key(text).id);
+        const Operation operation = operation_of(id, hash_key(store.registry().pepper(), text));
+        const std::string why = commit_or_check(o, store, operation);
         if (!why.empty()) {
             std::cerr << why << "\n";
             return Exit::bad_answer;
@@ -107,16 +110,17 @@
             if (!o.account.empty() && name != o.account) continue;
             std::cout << fmt::format(
                 "{}  plan {}{}\n", name, a.plan,
-                a.merged_into.empty() ? "" : "  counts for " + r.counts_for(name));
+                a.merged_into.empty() ? "" : "  counts for " + r.resolve_merges(name));
             std::map<std::string, const Key*> ordered;
             for (const auto& [id, key] : r.keys())
                 if (key.account == name) ordered[id] = &key;
             for (const auto& [id, key] : ordered)
                 std::cout << fmt::format(
-                    "  {}  from {}  until {}{}{}\n", id, time_text(key->start),
-                    time_text(key->cutoff),
-                    key->cause == Cause::none ? ""
-                                              : fmt::format("  revoked: {}", to_string(key->cause)),
+                    "  {}  from {}  until {}{}{}\n", id, time_text(key->valid_from),
+                    time_text(key->valid_until),
+                    key->cause == RevocationCause::none
+                        ? ""
+                        : fmt::format("  revoked: {}", to_string(key->cause)),
                     key->successor.empty() ? "" : "  followed by " + key->successor);
         }
         return Exit::done;
@@ -129,12 +133,13 @@
         registry::Store store(o.folder, registry::Store::Mode::read, false, disk);
         std::string text;
         std::getline(std::cin, text);
-        const Served s = store.registry().look_up(text, now());
-        std::cout << to_string(s.verdict);
-        if (!s.account.empty())
-            std::cout << fmt::format("  key {}  account {}  plan {}", s.key_id, s.account, s.plan);
+        const KeyLookup found = store.registry().look_up(text, wall_clock_now());
+        std::cout << to_string(found.status);
+        if (!found.account.empty())
+            std::cout << fmt::format("  key {}  account {}  plan {}", found.key_id, found.account,
+                                     found.plan);
         std::cout << "\n";
-        return s.verdict == Verdict::served ? Exit::done : Exit::bad_answer;
+        return found.status == KeyStatus::valid ? Exit::done : Exit::bad_answer;
     });
 }
 }  // namespace
@@ -188,10 +193,10 @@
     issue->callback([o, &code] {
         code = with_new_key(
             *o,
-            [o](const std::string& id, const Hash& hash) {
-                const Wall start = now() + of_seconds(o->start_s);
-                return Deed(IssueKey{id, o->account, hash, start,
-                                     o->valid_s > 0 ? start + of_seconds(o->valid_s) : never});
+            [o](const std::string& id, const KeyHash& hash) {
+                const UnixTime start = wall_clock_now() + of_seconds(o->start_s);
+                return Operation(IssueKey{id, o->account, hash, start,
+                                          o->valid_s > 0 ? start + of_seconds(o->valid_s) : never});
             },
             "issued for " + o->account);
     });
@@ -204,8 +209,8 @@
     rotate->callback([o, &code] {
         code = with_new_key(
             *o,
-            [o](const std::string& id, const Hash& hash) {
-                return Deed(RotateKey{o->id, id, hash, of_seconds(o->overlap_s)});
+            [o](const std::string& id, const KeyHash& hash) {
+                return Operation(RotateKey{o->id, id, hash, of_seconds(o->overlap_s)});
             },
             "rotated " + o->id);
     });
@@ -217,7 +222,9 @@
     revoke->add_option("--after-s", o->after_s, "Seconds until it ends; 0: now")
         ->check(CLI::NonNegativeNumber);
     revoke->callback([o, &code] {
-        code = change(*o, RevokeKey{o->id, now() + of_seconds(o->after_s), *cause_of(o->cause)},
+        code = change(*o,
+                      RevokeKey{o->id, wall_clock_now() + of_seconds(o->after_s),
+                                *parse_revocation_cause(o->cause)},
                       "key " + o->id + " revoked");
     });
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -328,14 +328,14 @@
     return policy;
 }
 
-Accounts::Accounts(const Config& config) {
+StaticKeyIndex::StaticKeyIndex(const Config& config) {
     for (const auto& a : config.account()) {
         accounts_.push_back({a.name(), plan_index(config, a.plan()), {}});
         for (const std::string& key : a.key())
             by_key_.emplace(key, accounts_.size() - 1);
     }
 }
-AccountBook::Found Accounts::by_key(std::string_view key) {
+KeyIndex::Found StaticKeyIndex::by_key(std::string_view key) {
     const auto it = by_key_.find(std::string(key));
     if (it == by_key_.end()) return {std::nullopt, "no account has this key"};
     return {accounts_[it->second], {}};
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -41,26 +41,29 @@
 
 openapi::Policy policy_of(const Config& config);
 
-// The account behind a key: the one look-up that fronts use, whoever keeps the keys.
+// The account behind a key, as the key index returns it.
 struct AccountRef {
     std::string name;
     int plan = -1;
     std::string key_id;  // public; for logs
 };
-class AccountBook {
+// Finds the account of an API key.
+class KeyIndex {
   public:
-    virtual ~AccountBook() = default;
+    virtual ~KeyIndex() = default;
     struct Found {
         std::optional<AccountRef> account;
-        std::string why;  // where there is none; never any of the key's text
+        std::string why;  // for the client, where there is none; never any of the key's text
     };
     virtual Found by_key(std::string_view key) = 0;
 };
 
-// The accounts that stand in the configuration itself.
-class Accounts : public AccountBook {
+using AccountBook = KeyIndex;  // the name that src/frontend still uses
+
+// The accounts and keys that the configuration lists.
+class StaticKeyIndex : public KeyIndex {
   public:
-    explicit Accounts(const Config& config);
+    explicit StaticKeyIndex(const Config& config);
     Found by_key(std::string_view key) override;
 
   private:
--- a/src/registry/store.cpp
+++ b/src/registry/store.cpp
@@ -1,149 +1,123 @@
 #include "registry/store.h"
 
 #include <fcntl.h>
-#include <sodium.h>
-#include <sys/file.h>
-#include <sys/stat.h>
-#include <unistd.h>
 
 #include <cerrno>
 #include <cstring>
-#include <stdexcept>
 
 namespace silverreach::registry {
 namespace {
-constexpr const char* unsure = "; whether the change was made shows when it is opened again";
-
-[[noreturn]] void fail(const std::string& what) {
-    throw std::runtime_error(what + ": " + std::strerror(errno));
+constexpr const char* outcome_unknown_note =
+    "; whether the change was made shows when it is opened again";
 }
 
-std::string read_all(int fd, const std::string& name) {
-    std::string out;
-    char buffer[65536];
-    while (true) {
-        const ssize_t n = ::pread(fd, buffer, sizeof buffer, static_cast<off_t>(out.size()));
-        if (n < 0 && errno == EINTR) continue;
-        if (n < 0) fail(name);
-        if (n == 0) return out;
-        out.append(buffer, static_cast<std::size_t>(n));
-    }
-}
-// A new file's name is durable only when its folder is.
-void sync_folder(const std::string& folder) {
-    event::Fd fd(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-    if (!fd || ::fsync(fd.get()) != 0) fail(folder);
-}
-}  // namespace
+Store::Store(const std::string& folder, Mode mode, bool create, Disk& disk)
+    : folder_(folder), mode_(mode), disk_(disk) {
+    initialize_cryptography();
+    const bool writes = mode == Mode::write;
+    if (create) make_folder(folder);
+    if (writes) lock_ = lock_folder(folder);
+    const int create_flag = create ? O_CREAT : 0;
+    const int flags = writes ? O_RDWR | create_flag : O_RDONLY;
+    log_file_ = open_file(path_of("log"), flags);
+    marker_file_ = open_file(path_of("mark"), flags);
+    if (!log_file_ || !marker_file_) throw_system_error(folder + ": no registry here");
+    const event::Fd secret_file = open_file(path_of("secret"), flags);
+    if (!secret_file) throw_system_error(path_of("secret"));
 
-bool Disk::write(int fd, std::uint64_t at, std::string_view bytes) {
-    while (!bytes.empty()) {
-        const ssize_t n = ::pwrite(fd, bytes.data(), bytes.size(), static_cast<off_t>(at));
-        if (n < 0 && errno == EINTR) continue;
-        if (n <= 0) return false;
-        at += static_cast<std::uint64_t>(n);
-        bytes.remove_prefix(static_cast<std::size_t>(n));
-    }
-    return true;
-}
-bool Disk::sync(int fd) {
-    return ::fsync(fd) == 0;
-}
-bool Disk::truncate(int fd, std::uint64_t size) {
-    return ::ftruncate(fd, static_cast<off_t>(size)) == 0;
+    // The marker is read before the log: a writer beside this reader extends the log before it
+    // moves the marker.
+    Contents contents;
+    contents.secret = read_all(secret_file, path_of("secret"));
+    contents.marker = read_all(marker_file_, path_of("mark"));
+    contents.log = read_all(log_file_, path_of("log"));
+    if (writes && is_incomplete(contents)) initialize(secret_file, contents);
+    load_pepper(contents.secret);
+    replay(contents);
 }
 
-accounts::Bytes32 random_bytes() {
-    if (sodium_init() < 0) throw std::runtime_error("no source of random numbers");
-    accounts::Bytes32 bytes;
-    randombytes_buf(bytes.data(), bytes.size());
-    return bytes;
+// Writing the log's first bytes is the last step of creating a registry. Before that nothing was
+// acknowledged.
+bool Store::is_incomplete(const Contents& contents) const {
+    if (contents.log.size() >= accounts::log_magic.size()) return false;
+    const auto marker = accounts::decode_marker(contents.marker);
+    return !marker || marker->committed_bytes == 0;
 }
 
-Store::Store(const std::string& folder, Mode mode, bool make, Disk& disk)
-    : folder_(folder), disk_(disk) {
-    if (sodium_init() < 0) throw std::runtime_error("no source of random numbers");
-    const bool writes = mode == Mode::write;
-    if (make && ::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) fail(folder);
-    const int flags = (writes ? O_RDWR | (make ? O_CREAT : 0) : O_RDONLY) | O_CLOEXEC;
-    if (writes) {
-        lock_ = event::Fd(::open((folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
-        if (!lock_ && errno == ENOENT)
-            throw std::runtime_error(
-                folder + ": no registry here; 'silverreach keys plan NAME --make' makes one");
-        if (!lock_) fail(folder + "/lock");
-        if (::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0)
-            throw std::runtime_error(folder +
-                                     ": another writer has the registry; nothing was changed");
-    }
-    log_ = event::Fd(::open((folder + "/log").c_str(), flags, 0600));
-    mark_ = event::Fd(::open((folder + "/mark").c_str(), flags, 0600));
-    if (!log_ || !mark_) fail(folder + ": no registry here");
+void Store::initialize(const event::Fd& secret_file, Contents& contents) {
+    const auto pepper = random_bytes();
+    contents.secret.assign(reinterpret_cast<const char*>(pepper.data()), pepper.size());
+    contents.marker = accounts::encode_marker_slot({});
+    contents.log = accounts::log_magic;
+    write_durably(disk_, secret_file, contents.secret, path_of("secret"));
+    write_durably(disk_, marker_file_, contents.marker, path_of("mark"));
+    write_durably(disk_, log_file_, contents.log, path_of("log"));
+    sync_folder(folder_);
+}
 
-    event::Fd secret(::open((folder + "/secret").c_str(), flags, 0600));
-    if (!secret) fail(folder + "/secret");
-    std::string pepper = read_all(secret.get(), folder + "/secret");
-    // The mark first: a writer beside a reader makes the log longer before it moves the mark.
-    std::string mark = read_all(mark_.get(), folder + "/mark");
-    std::string log = read_all(log_.get(), folder + "/log");
-    // The log's first bytes are the last step of making a registry; until they are whole nothing
-    // was acknowledged, and the making is begun anew.
-    const auto marked = accounts::read_mark(mark);
-    if (writes && log.size() < accounts::log_magic.size() &&
-        (!marked || marked->acknowledged == 0)) {
-        const auto fresh = random_bytes();
-        pepper.assign(reinterpret_cast<const char*>(fresh.data()), fresh.size());
-        if (!disk_.write(secret.get(), 0, pepper) || !disk_.sync(secret.get()))
-            fail(folder + "/secret");
-        if (!disk_.write(mark_.get(), 0, accounts::slot_of({})) || !disk_.sync(mark_.get()))
-            fail(folder + "/mark");
-        if (!disk_.write(log_.get(), 0, accounts::log_magic) || !disk_.sync(log_.get()))
-            fail(folder + "/log");
-        sync_folder(folder);
-        log = accounts::log_magic, mark = accounts::slot_of({});
-    }
-    accounts::Pepper key{};
-    if (pepper.size() != key.size())
-        throw std::runtime_error(
-            folder + "/secret: expected 32 bytes; the log's keys are of no use without it");
-    std::memcpy(key.data(), pepper.data(), key.size());
-    registry_ = std::make_unique<accounts::Registry>(key);
+void Store::load_pepper(const std::string& secret) {
+    accounts::Pepper pepper{};
+    if (secret.size() != pepper.size())
+        throw StoreError(
+            StoreErrorCode::corrupt,
+            path_of("secret") + ": expected 32 bytes; the log's keys are of no use without it");
+    std::memcpy(pepper.data(), secret.data(), pepper.size());
+    registry_ = std::make_unique<accounts::Registry>(pepper);
+}
 
-    const auto recovered = accounts::recover(log, mark, !writes);
-    if (!recovered.problem.empty()) throw std::runtime_error(folder + "/log: " + recovered.problem);
-    for (const auto& change : recovered.changes)
-        if (const std::string why = registry_->apply(change); !why.empty())
-            throw std::runtime_error(folder + "/log: change " + std::to_string(change.version) +
-                                     " does not fit: " + why);
-    size_ = recovered.keep, last_ = recovered.mark;
-    if (!writes) return;
-    if (size_ < log.size() && (!disk_.truncate(log_.get(), size_) || !disk_.sync(log_.get())))
-        fail(folder + "/log");
+void Store::replay(const Contents& contents) {
+    const bool writes = mode_ == Mode::write;
+    const auto recovered =
+        accounts::recover_log(contents.log, contents.marker,
+                              writes ? accounts::RecoverUpTo::last_complete_record
+                                     : accounts::RecoverUpTo::commit_marker);
+    if (recovered.error)
+        throw StoreError(StoreErrorCode::corrupt, path_of("log") + ": " + recovered.error->message);
+    for (const accounts::Change& change : recovered.changes)
+        if (const auto error = registry_->apply(change))
+            throw StoreError(StoreErrorCode::corrupt, path_of("log") + ": change " +
+                                                          std::to_string(change.version) +
+                                                          " does not fit: " + error->message);
+    log_bytes_ = recovered.valid_bytes;
+    last_marker_ = recovered.marker;
+    if (!writes || log_bytes_ >= contents.log.size()) return;
+    if (!disk_.truncate(log_file_.get(), log_bytes_) || !disk_.sync(log_file_.get()))
+        throw_system_error(path_of("log"));
 }
 
-std::string Store::change(const accounts::Deed& deed, accounts::Wall at) {
-    if (broken_) return "the disk failed before; open the registry again";
-    const accounts::Change change{registry_->version() + 1, at, deed};
-    if (std::string why = registry_->check(change); !why.empty()) return why;
-    const std::string record = accounts::record_of(change);
-    const accounts::Mark mark{last_.sequence + 1, size_ + record.size()};
-    const auto refuse = [&](const char* what) {
-        const std::string why = std::strerror(errno);
-        // What is beyond the mark was not acknowledged. Where it cannot be taken back, a record
-        // that is whole stands at the next opening.
-        broken_ = !disk_.truncate(log_.get(), size_) || !disk_.sync(log_.get());
-        return folder_ + what + why + (broken_ ? unsure : "; the change was not made");
-    };
-    if (!disk_.write(log_.get(), size_, record) || !disk_.sync(log_.get())) return refuse("/log: ");
-    const std::uint64_t slot = mark.sequence % 2 * accounts::slot_size;
-    if (!disk_.write(mark_.get(), slot, accounts::slot_of(mark)) || !disk_.sync(mark_.get())) {
-        // The mark may be on the disk or not: only a fresh look tells.
-        broken_ = true;
-        return folder_ + "/mark: " + std::strerror(errno) + unsure;
+std::optional<CommitError> Store::commit(const accounts::Operation& operation,
+                                         accounts::UnixTime at) {
+    if (outcome_unknown_)
+        return CommitError{CommitErrorCode::closed,
+                           "the disk failed before; open the registry again"};
+    const accounts::Change change{registry_->version() + 1, at, operation};
+    if (const auto error = registry_->check(change))
+        return CommitError{CommitErrorCode::rejected, error->message};
+    const std::string record = accounts::encode_record(change);
+    const accounts::CommitMarker marker{last_marker_.sequence + 1, log_bytes_ + record.size()};
+    if (!disk_.write(log_file_.get(), log_bytes_, record) || !disk_.sync(log_file_.get()))
+        return roll_back();
+    const std::uint64_t slot_at = marker.sequence % 2 * accounts::marker_slot_bytes;
+    if (!disk_.write(marker_file_.get(), slot_at, accounts::encode_marker_slot(marker)) ||
+        !disk_.sync(marker_file_.get())) {
+        // The marker may or may not be on the disk.
+        outcome_unknown_ = true;
+        return CommitError{CommitErrorCode::outcome_unknown,
+                           path_of("mark") + ": " + std::strerror(errno) + outcome_unknown_note};
     }
     registry_->apply(change);
-    size_ = mark.acknowledged, last_ = mark;
-    return {};
+    log_bytes_ = marker.committed_bytes;
+    last_marker_ = marker;
+    return std::nullopt;
+}
+
+// Takes back what was written beyond the marker. Where that fails, a complete record may be found
+// at the next opening.
+CommitError Store::roll_back() {
+    const std::string message = path_of("log") + ": " + std::strerror(errno);
+    outcome_unknown_ = !disk_.truncate(log_file_.get(), log_bytes_) || !disk_.sync(log_file_.get());
+    if (outcome_unknown_) return {CommitErrorCode::outcome_unknown, message + outcome_unknown_note};
+    return {CommitErrorCode::not_committed, message + "; the change was not made"};
 }
 
 }  // namespace silverreach::registry
--- a/src/registry/store.h
+++ b/src/registry/store.h
@@ -1,51 +1,56 @@
-// The registry on disk: a folder with `log`, `mark`, `secret` and a lock. One writer at a time;
-// readers take what is acknowledged.
+// The registry on disk: a folder with `log`, `mark` (the commit marker), `secret` (the pepper) and
+// `lock`. One writer at a time; readers see what is committed.
 #pragma once
 
-#include <functional>
 #include <memory>
+#include <optional>
 #include <string>
 
-#include "accounts/journal.h"
-#include "event/loop.h"
+#include "accounts/change_log.h"
+#include "accounts/registry.h"
+#include "registry/store_error.h"
+#include "registry/store_files.h"
 
 namespace silverreach::registry {
 
-// The calls of the system that the store makes, so that tests can fail and stop each of them.
-class Disk {
-  public:
-    virtual ~Disk() = default;
-    virtual bool write(int fd, std::uint64_t at,
-                       std::string_view bytes);  // all of it, or false with errno
-    virtual bool sync(int fd);
-    virtual bool truncate(int fd, std::uint64_t size);
-};
-
 class Store {
   public:
     enum class Mode {
         read,
         write
     };
-    // Throws std::runtime_error with a plain message: the folder is not to be had, another writer
-    // has it, or the log is damaged. `make`: a new folder is made where there is none.
-    Store(const std::string& folder, Mode mode, bool make, Disk& disk);
+    // Opens the registry in `folder`; `create` makes one where there is none. Throws StoreError
+    // where that fails. `disk` must outlive this.
+    Store(const std::string& folder, Mode mode, bool create, Disk& disk);
 
     accounts::Registry& registry() { return *registry_; }
-    // Applies a change at `at` and makes it durable. Empty: it is acknowledged. Else why not; it
-    // was not made, or, where the disk failed, the store takes no more until it is opened again.
-    std::string change(const accounts::Deed& deed, accounts::Wall at);
+    // Applies a change made at `at` and makes it durable; without an error it is committed. After
+    // the error outcome_unknown every later call returns `closed`.
+    std::optional<CommitError> commit(const accounts::Operation& operation, accounts::UnixTime at);
 
   private:
+    struct Contents {
+        std::string secret;
+        std::string marker;
+        std::string log;
+    };
+    std::string path_of(const char* file) const { return folder_ + "/" + file; }
+    bool is_incomplete(const Contents& contents) const;
+    void initialize(const event::Fd& secret_file, Contents& contents);
+    void load_pepper(const std::string& secret);
+    void replay(const Contents& contents);
+    CommitError roll_back();
+
     std::string folder_;
+    Mode mode_;
     Disk& disk_;
-    event::Fd lock_, log_, mark_;
+    event::Fd lock_;
+    event::Fd log_file_;
+    event::Fd marker_file_;
     std::unique_ptr<accounts::Registry> registry_;
-    std::uint64_t size_ = 0;
-    accounts::Mark last_;
-    bool broken_ = false;
+    std::uint64_t log_bytes_ = 0;
+    accounts::CommitMarker last_marker_;
+    bool outcome_unknown_ = false;
 };
 
-accounts::Bytes32 random_bytes();
-
 }  // namespace silverreach::registry
--- a/tests/accounts/accounts_test.cpp
+++ b/tests/accounts/accounts_test.cpp
@@ -6,16 +6,21 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "accounts/journal.h"
+#include "accounts/change_codec.h"
+#include "accounts/change_log.h"
+#include "accounts/registry.h"
 #include "registry/store.h"
 
 using namespace silverreach::accounts;
+using silverreach::registry::CommitErrorCode;
 using silverreach::registry::Disk;
 using silverreach::registry::Store;
+using silverreach::registry::StoreError;
+using silverreach::registry::StoreErrorCode;
 
 namespace {
-constexpr Wall second(1000), hour(3'600'000);
-const Wall t0(1'800'000'000'000);
+constexpr UnixTime second(1000), hour(3'600'000);
+const UnixTime t0(1'800'000'000'000);
 
 std::string key_text(std::uint8_t n) {
     Bytes32 random{};
@@ -24,30 +29,35 @@
     return make_key(random);
 }
 std::string id_of(const std::string& text) {
-    return std::string(look_at(text).id);
+    return std::string(parse_key(text).id);
 }
 
-struct Book {
+struct TestRegistry {
     Registry r;
-    Wall at = t0;
-    explicit Book(Wall skew = Wall(0)) : r(Pepper{1, 2, 3}, skew) {}
-    std::string make(Deed d) { return r.apply({r.version() + 1, at, std::move(d)}); }
-    std::string issue(std::uint8_t n, const std::string& account, Wall start = t0,
-                      Wall cutoff = never) {
+    UnixTime at = t0;
+    explicit TestRegistry(UnixTime skew = UnixTime(0)) : r(Pepper{1, 2, 3}, skew) {}
+    // The error's message; empty where the operation was applied.
+    std::string make(Operation operation) {
+        const auto error = r.apply({r.version() + 1, at, std::move(operation)});
+        return error ? error->message : "";
+    }
+    std::string issue(std::uint8_t n, const std::string& account, UnixTime start = t0,
+                      UnixTime cutoff = never) {
         const std::string text = key_text(n);
-        EXPECT_EQ(make(IssueKey{id_of(text), account, hash_of(r.pepper(), text), start, cutoff}),
+        EXPECT_EQ(make(IssueKey{id_of(text), account, hash_key(r.pepper(), text), start, cutoff}),
                   "");
         return text;
     }
-    std::string rotate(const std::string& old, std::uint8_t n, Wall overlap) {
+    std::string rotate(const std::string& old, std::uint8_t n, UnixTime overlap) {
         const std::string text = key_text(n);
-        EXPECT_EQ(make(RotateKey{id_of(old), id_of(text), hash_of(r.pepper(), text), overlap}), "");
+        EXPECT_EQ(make(RotateKey{id_of(old), id_of(text), hash_key(r.pepper(), text), overlap}),
+                  "");
         return text;
     }
-    Verdict worth(const std::string& text, Wall now) { return r.look_up(text, now).verdict; }
+    KeyStatus status(const std::string& text, UnixTime now) { return r.look_up(text, now).status; }
 };
-Book book(Wall skew = Wall(0)) {
-    Book b(skew);
+TestRegistry make_registry(UnixTime skew = UnixTime(0)) {
+    TestRegistry b(skew);
     EXPECT_EQ(b.make(AddPlan{"basic"}), "");
     EXPECT_EQ(b.make(AddPlan{"gold"}), "");
     EXPECT_EQ(b.make(PutAccount{"birds", "basic"}), "");
@@ -56,19 +66,19 @@
 }
 }  // namespace
 
-TEST(Key, MistypedIsToldFromUnknownAndMalformed) {
-    Book b = book();
+TEST(Key, MistypedUnknownAndMalformedKeysAreDistinguished) {
+    TestRegistry b = make_registry();
     const std::string text = b.issue(1, "birds");
     EXPECT_EQ(text.size(), key_length);
-    EXPECT_EQ(b.worth(text, t0), Verdict::served);
-    EXPECT_EQ(b.worth(key_text(9), t0), Verdict::unknown);
+    EXPECT_EQ(b.status(text, t0), KeyStatus::valid);
+    EXPECT_EQ(b.status(key_text(9), t0), KeyStatus::unknown);
     int mistyped = 0;
     for (std::size_t i = 4; i < text.size(); ++i) {
         std::string wrong = text;
         wrong[i] = wrong[i] == '7' ? '8' : '7';
         if (wrong == text || i == 4 + id_length) continue;
-        EXPECT_NE(b.worth(wrong, t0), Verdict::served);
-        mistyped += b.worth(wrong, t0) == Verdict::mistyped;
+        EXPECT_NE(b.status(wrong, t0), KeyStatus::valid);
+        mistyped += b.status(wrong, t0) == KeyStatus::checksum_mismatch;
     }
     EXPECT_GE(mistyped, 45) << "twenty bits of check: one in a million passes";
     for (const std::string& bad :
@@ -78,51 +88,51 @@
               u[6] = 'U';
               return u;
           }()})
-        EXPECT_EQ(b.worth(bad, t0), Verdict::malformed);
+        EXPECT_EQ(b.status(bad, t0), KeyStatus::malformed);
 }
 
-TEST(Registry, RotationOverlapsAndThenCutsOff) {
-    Book b = book();
+TEST(Registry, BothKeysOfARotationAreValidUntilTheOverlapEnds) {
+    TestRegistry b = make_registry();
     const std::string first = b.issue(1, "birds");
     b.at = t0 + hour;
     const std::string second_key = b.rotate(first, 2, hour);
-    EXPECT_EQ(b.worth(first, t0 + hour), Verdict::served);
-    EXPECT_EQ(b.worth(second_key, t0 + hour), Verdict::served);
+    EXPECT_EQ(b.status(first, t0 + hour), KeyStatus::valid);
+    EXPECT_EQ(b.status(second_key, t0 + hour), KeyStatus::valid);
     b.at = t0 + hour + hour / 2;  // again within the overlap
     const std::string third = b.rotate(second_key, 3, hour);
     for (const std::string& key : {first, second_key, third})
-        EXPECT_EQ(b.worth(key, b.at), Verdict::served);
-    EXPECT_EQ(b.worth(first, t0 + 2 * hour - Wall(1)), Verdict::served);
-    EXPECT_EQ(b.worth(first, t0 + 2 * hour), Verdict::cut_off);
-    EXPECT_EQ(b.worth(second_key, t0 + 2 * hour), Verdict::served);
-    EXPECT_EQ(b.worth(second_key, t0 + 3 * hour), Verdict::cut_off);
-    EXPECT_EQ(b.worth(third, t0 + 100 * hour), Verdict::served);
+        EXPECT_EQ(b.status(key, b.at), KeyStatus::valid);
+    EXPECT_EQ(b.status(first, t0 + 2 * hour - UnixTime(1)), KeyStatus::valid);
+    EXPECT_EQ(b.status(first, t0 + 2 * hour), KeyStatus::expired);
+    EXPECT_EQ(b.status(second_key, t0 + 2 * hour), KeyStatus::valid);
+    EXPECT_EQ(b.status(second_key, t0 + 3 * hour), KeyStatus::expired);
+    EXPECT_EQ(b.status(third, t0 + 100 * hour), KeyStatus::valid);
     EXPECT_NE(b.make(RotateKey{id_of(first), "aaaaaaaaaa", {}, hour}), "") << "it has ended";
 }
 
-TEST(Registry, ARotationNeverPutsAnEndOff) {
-    Book b = book();
+TEST(Registry, ARotationNeverExtendsValidity) {
+    TestRegistry b = make_registry();
     const std::string text = b.issue(1, "birds", t0, t0 + hour);
     const std::string next = b.rotate(text, 2, 10 * hour);
-    EXPECT_EQ(b.worth(text, t0 + hour), Verdict::cut_off);
-    EXPECT_EQ(b.worth(next, t0 + hour), Verdict::cut_off)
+    EXPECT_EQ(b.status(text, t0 + hour), KeyStatus::expired);
+    EXPECT_EQ(b.status(next, t0 + hour), KeyStatus::expired)
         << "the follower lasts as long as its forerunner was to";
 }
 
-TEST(Registry, RevokedIsNeverServedAgainWhateverTheClockDoes) {
-    Book b = book(5 * second);
+TEST(Registry, ARevokedKeyStaysInvalidWhateverTheClockDoes) {
+    TestRegistry b = make_registry(5 * second);
     const std::string text = b.issue(1, "birds");
-    EXPECT_EQ(b.make(RevokeKey{id_of(text), t0 + 60 * second, Cause::leaked}), "");
-    EXPECT_EQ(b.worth(text, t0), Verdict::served);
-    EXPECT_EQ(b.worth(text, t0 + 55 * second), Verdict::cut_off) << "a clock that is 5 s behind";
-    EXPECT_EQ(b.worth(text, t0), Verdict::cut_off) << "a step back is not followed";
-    EXPECT_NE(b.make(RevokeKey{id_of(text), t0 + 600 * second, Cause::asked}), "")
+    EXPECT_EQ(b.make(RevokeKey{id_of(text), t0 + 60 * second, RevocationCause::leaked}), "");
+    EXPECT_EQ(b.status(text, t0), KeyStatus::valid);
+    EXPECT_EQ(b.status(text, t0 + 55 * second), KeyStatus::expired) << "a clock that is 5 s behind";
+    EXPECT_EQ(b.status(text, t0), KeyStatus::expired) << "a step back is not followed";
+    EXPECT_NE(b.make(RevokeKey{id_of(text), t0 + 600 * second, RevocationCause::requested}), "")
         << "an end is not put off";
-    EXPECT_EQ(b.r.keys().at(id_of(text)).cause, Cause::leaked);
+    EXPECT_EQ(b.r.keys().at(id_of(text)).cause, RevocationCause::leaked);
 }
 
-TEST(Registry, KeysOfOneAccountAndOfMergedOnesCountForOne) {
-    Book b = book();
+TEST(Registry, KeysOfMergedAccountsCountForOneAccount) {
+    TestRegistry b = make_registry();
     const std::string a = b.issue(1, "birds"), c = b.issue(2, "birds"), d = b.issue(3, "rival");
     EXPECT_EQ(b.r.look_up(a, t0).account, b.r.look_up(c, t0).account);
     EXPECT_EQ(b.make(MergeAccounts{"rival", "birds"}), "");
@@ -133,8 +143,8 @@
     EXPECT_NE(b.make(PutAccount{"rival", "gold"}), "");
 }
 
-TEST(Registry, APlanInUseGoesOverToAnother) {
-    Book b = book();
+TEST(Registry, RemovingAPlanInUseMovesItsAccounts) {
+    TestRegistry b = make_registry();
     const std::string text = b.issue(1, "birds");
     EXPECT_NE(b.make(RemovePlan{"basic", ""}), "");
     EXPECT_NE(b.make(RemovePlan{"basic", "basic"}), "");
@@ -142,11 +152,15 @@
     EXPECT_EQ(b.r.look_up(text, t0).plan, "gold");
 }
 
-TEST(Registry, ChangesOutOfTurnAreRefusedWhole) {
-    Book b = book();
+TEST(Registry, InvalidChangesAreRejectedWithoutEffect) {
+    TestRegistry b = make_registry();
     const auto version = b.r.version();
-    EXPECT_NE(b.r.apply({version, t0, AddPlan{"x"}}), "");
-    EXPECT_NE(b.r.apply({version + 2, t0, AddPlan{"x"}}), "");
+    for (const std::uint64_t wrong : {version, version + 2}) {
+        const auto error = b.r.apply({wrong, t0, AddPlan{"x"}});
+        ASSERT_TRUE(error);
+        EXPECT_EQ(error->code, ChangeErrorCode::version_mismatch);
+        EXPECT_NE(error->message, "");
+    }
     EXPECT_NE(b.make(AddPlan{"a b"}), "");
     EXPECT_NE(b.make(AddPlan{std::string(300, 'x')}), "");
     EXPECT_EQ(b.r.version(), version);
@@ -158,21 +172,21 @@
 TEST(Registry, AgreesWithASimpleModel) {
     struct Moments {
         std::string text;
-        Wall start, end;
+        UnixTime start, end;
         bool rotated = false;
     };
     const bool good = rc::check("what is served", [] {
-        Book b = book();
+        TestRegistry b = make_registry();
         std::vector<Moments> model;
         std::uint8_t next = 1;
         for (int step = 0; step < 30; ++step) {
-            b.at += Wall(*rc::gen::inRange<std::int64_t>(0, 5000));
+            b.at += UnixTime(*rc::gen::inRange<std::int64_t>(0, 5000));
             const int what = *rc::gen::inRange(0, 4);
             const auto pick = [&]() -> Moments* {
                 return model.empty() ? nullptr
                                      : &model[*rc::gen::inRange<std::size_t>(0, model.size())];
             };
-            const Wall span(*rc::gen::inRange<std::int64_t>(1, 8000));
+            const UnixTime span(*rc::gen::inRange<std::int64_t>(1, 8000));
             if (what == 0 || model.empty()) {
                 const std::string text = b.issue(next++, "birds", b.at, b.at + span);
                 model.push_back({text, b.at, b.at + span});
@@ -181,21 +195,23 @@
                 const std::string text = key_text(next++);
                 const bool may = m->end > b.at && !m->rotated;
                 const std::string why = b.make(
-                    RotateKey{id_of(m->text), id_of(text), hash_of(b.r.pepper(), text), span});
+                    RotateKey{id_of(m->text), id_of(text), hash_key(b.r.pepper(), text), span});
                 RC_ASSERT(why.empty() == may);
                 if (!may) continue;
-                const Wall end = m->end;
+                const UnixTime end = m->end;
                 m->end = std::min(m->end, b.at + span), m->rotated = true;
                 model.push_back({text, b.at, end});
             } else if (what == 2) {
                 Moments* m = pick();
-                const Wall end = b.at + span;
+                const UnixTime end = b.at + span;
                 const bool may = m->end > end;
-                RC_ASSERT(b.make(RevokeKey{id_of(m->text), end, Cause::asked}).empty() == may);
+                RC_ASSERT(
+                    b.make(RevokeKey{id_of(m->text), end, RevocationCause::requested}).empty() ==
+                    may);
                 if (may) m->end = end;
             } else {
                 for (const Moments& m : model)
-                    RC_ASSERT((b.worth(m.text, b.at) == Verdict::served) ==
+                    RC_ASSERT((b.status(m.text, b.at) == KeyStatus::valid) ==
                               (m.start <= b.at && b.at < m.end));
             }
         }
@@ -203,50 +219,51 @@
     EXPECT_TRUE(good);
 }
 
-TEST(Journal, ChangesComeBackAsTheyWereAndGarbageDoesNot) {
-    const std::vector<Deed> deeds = {AddPlan{"p"},
-                                     RemovePlan{"p", "q"},
-                                     PutAccount{"a", "p"},
-                                     MergeAccounts{"a", "b"},
-                                     IssueKey{"0123456789", "a", {1, 2}, t0, never},
-                                     RotateKey{"0123456789", "abcdefghjk", {3}, hour},
-                                     RevokeKey{"0123456789", t0, Cause::leaked}};
-    for (const Deed& deed : deeds) {
-        const std::string bytes = encode({7, t0, deed});
-        const auto back = decode(bytes);
+TEST(ChangeCodec, ChangesRoundTripAndInvalidBytesAreRejected) {
+    const std::vector<Operation> operations = {
+        AddPlan{"p"},
+        RemovePlan{"p", "q"},
+        PutAccount{"a", "p"},
+        MergeAccounts{"a", "b"},
+        IssueKey{"0123456789", "a", {1, 2}, t0, never},
+        RotateKey{"0123456789", "abcdefghjk", {3}, hour},
+        RevokeKey{"0123456789", t0, RevocationCause::leaked}};
+    for (const Operation& operation : operations) {
+        const std::string bytes = encode_change({7, t0, operation});
+        const auto back = decode_change(bytes);
         ASSERT_TRUE(back);
-        EXPECT_EQ(encode(*back), bytes);
+        EXPECT_EQ(encode_change(*back), bytes);
         for (std::size_t cut = 0; cut < bytes.size(); ++cut)
-            EXPECT_FALSE(decode(bytes.substr(0, cut)));
-        EXPECT_FALSE(decode(bytes + "x"));
+            EXPECT_FALSE(decode_change(bytes.substr(0, cut)));
+        EXPECT_FALSE(decode_change(bytes + "x"));
     }
 }
 
-TEST(Journal, ATornTailIsCutOffAndDamageBelowTheMarkIsRefused) {
+TEST(ChangeLog, AnIncompleteTailIsTruncatedAndDamageBelowTheMarkerIsRejected) {
     std::string log(log_magic);
     std::vector<std::size_t> ends;
     for (int i = 0; i < 4; ++i) {
-        log +=
-            record_of({static_cast<std::uint64_t>(i + 1), t0, AddPlan{"plan" + std::to_string(i)}});
+        log += encode_record(
+            {static_cast<std::uint64_t>(i + 1), t0, AddPlan{"plan" + std::to_string(i)}});
         ends.push_back(log.size());
     }
     for (std::size_t acknowledged = 0; acknowledged <= 4; ++acknowledged) {
         const std::size_t upto = acknowledged ? ends[acknowledged - 1] : 0;
-        const std::string mark = slot_of({acknowledged, upto});
+        const std::string mark = encode_marker_slot({acknowledged, upto});
         for (std::size_t cut = 0; cut <= log.size(); ++cut) {
-            const Recovered r = recover(log.substr(0, cut), mark);
+            const RecoveredLog r = recover_log(log.substr(0, cut), mark);
             if (cut < upto)
-                EXPECT_FALSE(r.problem.empty()) << cut;
+                EXPECT_TRUE(r.error) << cut;
             else
                 EXPECT_GE(r.changes.size(), acknowledged) << cut;
-            EXPECT_LE(r.keep, cut);
+            EXPECT_LE(r.valid_bytes, cut);
         }
         for (std::size_t at = 0; at < log.size(); ++at) {
             std::string bad = log;
             bad[at] = static_cast<char>(bad[at] ^ 0x20);
-            const Recovered r = recover(bad, mark);
+            const RecoveredLog r = recover_log(bad, mark);
             if (at < upto || at < log_magic.size())
-                EXPECT_FALSE(r.problem.empty()) << at;
+                EXPECT_TRUE(r.error) << at;
             else
                 EXPECT_GE(r.changes.size(), acknowledged);
         }
@@ -298,7 +315,7 @@
 };
 }  // namespace
 
-TEST(Store, AKillAtEachWritePointLosesNothingAcknowledged) {
+TEST(Store, AKillAtEachWriteLosesNoAcknowledgedChange) {
     int points = 0;
     for (int kill_at = 0; kill_at < 200; ++kill_at)
         for (int part = 0; part < 3; ++part) {
@@ -313,7 +330,7 @@
                     Store store(f.name, Store::Mode::write, true, disk);
                     for (int i = 0; i < 4; ++i) {
                         tried = "plan" + std::to_string(i);
-                        ASSERT_EQ(store.change(AddPlan{tried}, t0), "");
+                        ASSERT_FALSE(store.commit(AddPlan{tried}, t0));
                         acknowledged.push_back(tried);
                     }
                 } catch (const Killed&) {
@@ -327,7 +344,7 @@
                 EXPECT_TRUE(again.registry().plans().count(plan)) << kill_at << " " << plan;
             EXPECT_LE(again.registry().plans().size(), acknowledged.size() + 1)
                 << "at most what was under way";
-            EXPECT_EQ(again.change(AddPlan{"after"}, t0), "");
+            EXPECT_FALSE(again.commit(AddPlan{"after"}, t0));
             if (!killed) {
                 EXPECT_GE(points, 3 * 16)
                     << "the writes and syncs of four changes, and of the beginning";
@@ -337,7 +354,7 @@
     FAIL() << "never ran to its end";
 }
 
-TEST(Store, AFullDiskMakesNoChangeAndLosesNone) {
+TEST(Store, AFullDiskCommitsNoChangeAndLosesNone) {
     for (int full_at = 6; full_at < 22; ++full_at) {
         Folder f;
         std::vector<std::string> acknowledged;
@@ -347,7 +364,7 @@
             Store store(f.name, Store::Mode::write, true, disk);
             for (int i = 0; i < 4; ++i) {
                 const std::string plan = "plan" + std::to_string(i);
-                if (store.change(AddPlan{plan}, t0).empty()) acknowledged.push_back(plan);
+                if (!store.commit(AddPlan{plan}, t0)) acknowledged.push_back(plan);
             }
             EXPECT_LT(acknowledged.size(), 5u);
         }
@@ -358,22 +375,23 @@
     }
 }
 
-TEST(Store, TwoWritersAtOnceAreRefusedAndReadersAreNot) {
+TEST(Store, ASecondWriterIsRejectedAndReadersAreNot) {
     Folder f;
     Disk disk;
     Store first(f.name, Store::Mode::write, true, disk);
-    EXPECT_EQ(first.change(AddPlan{"basic"}, t0), "");
+    EXPECT_FALSE(first.commit(AddPlan{"basic"}, t0));
     try {
         Store second(f.name, Store::Mode::write, true, disk);
         FAIL();
-    } catch (const std::runtime_error& error) {
+    } catch (const StoreError& error) {
+        EXPECT_EQ(error.code(), StoreErrorCode::locked);
         EXPECT_NE(std::string(error.what()).find("another writer"), std::string::npos);
     }
     Store reader(f.name, Store::Mode::read, false, disk);
     EXPECT_EQ(reader.registry().plans().size(), 1u);
 }
 
-TEST(Store, ADiskThatFailsForAWhileAndThenAKillKeepEveryWordThatWasGiven) {
+TEST(Store, DiskFailuresFollowedByAKillLoseNoAcknowledgedChange) {
     constexpr int first_call = 6, last_call = 30;  // after the making of the folder
     for (int fail_from = first_call; fail_from < last_call; ++fail_from)
         for (int span = 1; span <= 4; ++span)
@@ -386,11 +404,13 @@
                     Store store(f.name, Store::Mode::write, true, disk);
                     for (int i = 0; i < 4; ++i) {
                         const std::string plan = "plan" + std::to_string(i);
-                        const std::string why = store.change(AddPlan{plan}, t0);
-                        if (why.empty())
+                        const auto error = store.commit(AddPlan{plan}, t0);
+                        if (!error)
                             acknowledged.push_back(plan);
-                        else if (why.find("was not made") != std::string::npos)
+                        else if (error->message.find("was not made") != std::string::npos)
                             not_made.push_back(plan);
+                        EXPECT_EQ(error && error->code == CommitErrorCode::not_committed,
+                                  !not_made.empty() && not_made.back() == plan);
                     }
                 } catch (const Killed&) {
                 }
--- a/tests/accounts/compatibility_test.cpp
+++ b/tests/accounts/compatibility_test.cpp
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "accounts/journal.h"
+#include "accounts/change_log.h"
 #include "registry/store.h"
 
 using namespace silverreach::accounts;
@@ -30,7 +30,7 @@
 const std::string ended_on_request = "srk_wghw36rfaw_cjbe6z1znefg9kh2a2b6r1btvbxs6rcyjpdb";
 
 std::string id_of(const std::string& text) {
-    return std::string(look_at(text).id);
+    return std::string(parse_key(text).id);
 }
 std::string bytes_of(const std::filesystem::path& file) {
     std::ifstream in(file, std::ios::binary);
@@ -53,31 +53,31 @@
 };
 
 void expect_key(const Registry& registry, const std::string& text, const std::string& account,
-                std::int64_t start_unix_ms, Wall cutoff, Cause cause,
+                std::int64_t start_unix_ms, UnixTime valid_until, RevocationCause cause,
                 const std::string& replaced_by = "") {
     SCOPED_TRACE(text);
     ASSERT_TRUE(registry.keys().contains(id_of(text)));
     const Key& key = registry.keys().at(id_of(text));
     EXPECT_EQ(key.account, account);
-    EXPECT_EQ(key.hash, hash_of(registry.pepper(), text));
-    EXPECT_EQ(key.start, Wall(start_unix_ms));
-    EXPECT_EQ(key.cutoff, cutoff);
+    EXPECT_EQ(key.hash, hash_key(registry.pepper(), text));
+    EXPECT_EQ(key.valid_from, UnixTime(start_unix_ms));
+    EXPECT_EQ(key.valid_until, valid_until);
     EXPECT_EQ(key.cause, cause);
     EXPECT_EQ(key.successor, replaced_by);
 }
 
 void expect_recorded_keys(const Registry& registry) {
-    expect_key(registry, rotated, "wetlands", 1'796'286'147'457, Wall(1'796'286'747'586),
-               Cause::none, id_of(successor));
-    expect_key(registry, successor, "wetlands", 1'796'286'147'586, never, Cause::none);
-    expect_key(registry, valid_for_an_hour, "wetlands", 1'796'286'147'490, Wall(1'796'289'747'490),
-               Cause::none);
-    expect_key(registry, starts_later, "rival", 1'796'293'347'517, Wall(1'796'296'947'635),
-               Cause::closed);
-    expect_key(registry, leaked, "rival", 1'796'286'147'553, Wall(1'796'286'147'618),
-               Cause::leaked);
-    expect_key(registry, ended_on_request, "rival", 1'796'286'147'654, Wall(1'796'286'147'690),
-               Cause::asked);
+    expect_key(registry, rotated, "wetlands", 1'796'286'147'457, UnixTime(1'796'286'747'586),
+               RevocationCause::none, id_of(successor));
+    expect_key(registry, successor, "wetlands", 1'796'286'147'586, never, RevocationCause::none);
+    expect_key(registry, valid_for_an_hour, "wetlands", 1'796'286'147'490,
+               UnixTime(1'796'289'747'490), RevocationCause::none);
+    expect_key(registry, starts_later, "rival", 1'796'293'347'517, UnixTime(1'796'296'947'635),
+               RevocationCause::account_closed);
+    expect_key(registry, leaked, "rival", 1'796'286'147'553, UnixTime(1'796'286'147'618),
+               RevocationCause::leaked);
+    expect_key(registry, ended_on_request, "rival", 1'796'286'147'654, UnixTime(1'796'286'147'690),
+               RevocationCause::requested);
 }
 }  // namespace
 
@@ -105,80 +105,81 @@
     RecordedRegistry copy;
     Store store = copy.open(Store::Mode::read);
     // In ascending order: a registry does not follow a clock that steps back.
-    const Wall in_overlap(1'796'286'148'000), after_overlap(1'796'286'747'586),
+    const UnixTime in_overlap(1'796'286'148'000), after_overlap(1'796'286'747'586),
         after_an_hour(1'796'289'747'490), late_start(1'796'293'347'517),
         revocation(1'796'296'947'635);
-    const auto verdict = [&](const std::string& text, Wall at) {
-        return store.registry().look_up(text, at).verdict;
+    const auto status = [&](const std::string& text, UnixTime at) {
+        return store.registry().look_up(text, at).status;
     };
-    EXPECT_EQ(verdict(rotated, in_overlap), Verdict::served);
-    EXPECT_EQ(verdict(successor, in_overlap), Verdict::served);
-    EXPECT_EQ(verdict(valid_for_an_hour, in_overlap), Verdict::served);
-    EXPECT_EQ(verdict(starts_later, in_overlap), Verdict::early);
-    EXPECT_EQ(verdict(leaked, in_overlap), Verdict::cut_off);
-    EXPECT_EQ(verdict(ended_on_request, in_overlap), Verdict::cut_off);
-    EXPECT_EQ(verdict(rotated, after_overlap - Wall(1)), Verdict::served);
-    EXPECT_EQ(verdict(rotated, after_overlap), Verdict::cut_off);
-    EXPECT_EQ(verdict(valid_for_an_hour, after_an_hour - Wall(1)), Verdict::served);
-    EXPECT_EQ(verdict(valid_for_an_hour, after_an_hour), Verdict::cut_off);
-    EXPECT_EQ(verdict(starts_later, late_start - Wall(1)), Verdict::early);
-    EXPECT_EQ(verdict(starts_later, late_start), Verdict::served);
-    EXPECT_EQ(verdict(starts_later, revocation), Verdict::cut_off);
-    const Served served = store.registry().look_up(successor, revocation);
-    EXPECT_EQ(served.verdict, Verdict::served);
-    EXPECT_EQ(served.account, "wetlands");
-    EXPECT_EQ(served.plan, "basic");
-    EXPECT_EQ(served.key_id, id_of(successor));
+    EXPECT_EQ(status(rotated, in_overlap), KeyStatus::valid);
+    EXPECT_EQ(status(successor, in_overlap), KeyStatus::valid);
+    EXPECT_EQ(status(valid_for_an_hour, in_overlap), KeyStatus::valid);
+    EXPECT_EQ(status(starts_later, in_overlap), KeyStatus::not_yet_valid);
+    EXPECT_EQ(status(leaked, in_overlap), KeyStatus::expired);
+    EXPECT_EQ(status(ended_on_request, in_overlap), KeyStatus::expired);
+    EXPECT_EQ(status(rotated, after_overlap - UnixTime(1)), KeyStatus::valid);
+    EXPECT_EQ(status(rotated, after_overlap), KeyStatus::expired);
+    EXPECT_EQ(status(valid_for_an_hour, after_an_hour - UnixTime(1)), KeyStatus::valid);
+    EXPECT_EQ(status(valid_for_an_hour, after_an_hour), KeyStatus::expired);
+    EXPECT_EQ(status(starts_later, late_start - UnixTime(1)), KeyStatus::not_yet_valid);
+    EXPECT_EQ(status(starts_later, late_start), KeyStatus::valid);
+    EXPECT_EQ(status(starts_later, revocation), KeyStatus::expired);
+    const KeyLookup found = store.registry().look_up(successor, revocation);
+    EXPECT_EQ(found.status, KeyStatus::valid);
+    EXPECT_EQ(found.account, "wetlands");
+    EXPECT_EQ(found.plan, "basic");
+    EXPECT_EQ(found.key_id, id_of(successor));
 }
 
 TEST(RecordedRegistry, EncodingItsChangesAgainGivesTheSameBytes) {
     const std::string log = bytes_of(recorded / "log");
     ASSERT_EQ(log.size(), recorded_log_bytes);
-    const Recovered read = recover(log, bytes_of(recorded / "mark"));
-    EXPECT_EQ(read.problem, "");
+    const RecoveredLog read = recover_log(log, bytes_of(recorded / "mark"));
+    EXPECT_FALSE(read.error);
     ASSERT_EQ(read.changes.size(), recorded_version);
-    EXPECT_EQ(read.keep, recorded_log_bytes);
+    EXPECT_EQ(read.valid_bytes, recorded_log_bytes);
     std::string again(log_magic);
     for (const Change& change : read.changes)
-        again += record_of(change);
+        again += encode_record(change);
     EXPECT_EQ(again, log);
 }
 
 TEST(RecordedRegistry, AppendingKeepsWhatIsThereAndAdvancesTheCommitMarker) {
     RecordedRegistry copy;
-    const Wall at(1'796'286'200'000);
+    const UnixTime at(1'796'286'200'000);
     {
         Store store = copy.open(Store::Mode::write);
-        ASSERT_EQ(store.change(AddPlan{"silver"}, at), "");
-        ASSERT_EQ(store.change(PutAccount{"rival", "silver"}, at), "");
-        ASSERT_EQ(store.change(RevokeKey{id_of(successor), at, Cause::leaked}, at), "");
+        ASSERT_FALSE(store.commit(AddPlan{"silver"}, at));
+        ASSERT_FALSE(store.commit(PutAccount{"rival", "silver"}, at));
+        ASSERT_FALSE(store.commit(RevokeKey{id_of(successor), at, RevocationCause::leaked}, at));
     }
     EXPECT_TRUE(copy.log().starts_with(bytes_of(recorded / "log")));
-    EXPECT_EQ(copy.mark().size(), 2 * slot_size);
-    const auto marker = read_mark(copy.mark());
+    EXPECT_EQ(copy.mark().size(), 2 * marker_slot_bytes);
+    const auto marker = decode_marker(copy.mark());
     ASSERT_TRUE(marker);
     EXPECT_EQ(marker->sequence, recorded_version + 3);
-    EXPECT_EQ(marker->acknowledged, copy.log().size());
+    EXPECT_EQ(marker->committed_bytes, copy.log().size());
 
     Store reader = copy.open(Store::Mode::read);
     EXPECT_EQ(reader.registry().version(), recorded_version + 3);
     EXPECT_TRUE(reader.registry().plans().contains("silver"));
     EXPECT_EQ(reader.registry().accounts().at("rival").plan, "silver");
-    expect_key(reader.registry(), successor, "wetlands", 1'796'286'147'586, at, Cause::leaked);
-    expect_key(reader.registry(), leaked, "rival", 1'796'286'147'553, Wall(1'796'286'147'618),
-               Cause::leaked);
+    expect_key(reader.registry(), successor, "wetlands", 1'796'286'147'586, at,
+               RevocationCause::leaked);
+    expect_key(reader.registry(), leaked, "rival", 1'796'286'147'553, UnixTime(1'796'286'147'618),
+               RevocationCause::leaked);
 }
 
 TEST(RecordedRegistry, DamageBelowItsCommitMarkerIsRefused) {
     const std::string log = bytes_of(recorded / "log");
     const std::string mark = bytes_of(recorded / "mark");
-    EXPECT_NE(recover(log.substr(0, log.size() - 1), mark).problem, "");
+    EXPECT_TRUE(recover_log(log.substr(0, log.size() - 1), mark).error);
     for (std::size_t at = 0; at < log.size(); ++at) {
         std::string damaged = log;
         damaged[at] = static_cast<char>(damaged[at] ^ 0x20);
-        EXPECT_NE(recover(damaged, mark).problem, "") << at;
+        EXPECT_TRUE(recover_log(damaged, mark).error) << at;
     }
-    const Recovered torn = recover(log + "torn", mark);
-    EXPECT_EQ(torn.problem, "");
-    EXPECT_EQ(torn.keep, recorded_log_bytes) << "what follows the marker is cut off";
+    const RecoveredLog torn = recover_log(log + "torn", mark);
+    EXPECT_FALSE(torn.error);
+    EXPECT_EQ(torn.valid_bytes, recorded_log_bytes) << "what follows the marker is cut off";
 }
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -45,7 +45,7 @@
               DeduplicationScope::cell);
     EXPECT_EQ(s.classes[static_cast<std::size_t>(write)].deadline, std::chrono::milliseconds(900));
     EXPECT_EQ(class_index(*c, "nope", Idempotency::idempotent), -1);
-    Accounts accounts(*c);
+    StaticKeyIndex accounts(*c);
     EXPECT_EQ(accounts.by_key("k2").account->name, "birds");
     EXPECT_FALSE(accounts.by_key("k3").account);
 }
--- a/tests/gateway/clock_test.cpp
+++ b/tests/gateway/clock_test.cpp
@@ -18,7 +18,7 @@
 TEST(WallClock, AStepEndsNoKeyBeforeItsSpanIsOver) {
     steps()->wall_step_us = 0;
     Keys r;
-    const std::string key = r.issue("birds", now() + Wall(600'000));
+    const std::string key = r.issue("birds", now() + UnixTime(600'000));
     TestGateway g(r.options());
     EXPECT_EQ(status(g.talk(with(key))), 200);
     steps()->wall_step_us = 3'600'000'000;
@@ -30,7 +30,7 @@
 TEST(WallClock, AStepBackServesNoKeyBeyondItsCutoff) {
     steps()->wall_step_us = 0;
     Keys r;
-    const std::string key = r.issue("birds", now() + Wall(1'000));
+    const std::string key = r.issue("birds", now() + UnixTime(1'000));
     TestGateway g(r.options());
     EXPECT_EQ(status(g.talk(with(key))), 200);
     steps()->wall_step_us = -3'600'000'000;
--- a/tests/gateway/key_folder.h
+++ b/tests/gateway/key_folder.h
@@ -10,8 +10,9 @@
 using silverreach::registry::Disk;
 using silverreach::registry::Store;
 
-inline Wall now() {
-    return std::chrono::duration_cast<Wall>(std::chrono::system_clock::now().time_since_epoch());
+inline UnixTime now() {
+    return std::chrono::duration_cast<UnixTime>(
+        std::chrono::system_clock::now().time_since_epoch());
 }
 struct Keys {
     std::string folder = "/tmp/silverreach-keys-XXXXXX";
@@ -26,17 +27,21 @@
         make(PutAccount{"birds", "basic"});
     }
     ~Keys() { std::system(("rm -rf '" + folder + "'").c_str()); }
-    void make(const Deed& deed) { EXPECT_EQ(store->change(deed, now()), ""); }
-    std::string issue(const std::string& account, Wall cutoff = never) {
+    void make(const Operation& operation) {
+        const auto error = store->commit(operation, now());
+        EXPECT_FALSE(error) << error->message;
+    }
+    std::string issue(const std::string& account, UnixTime cutoff = never) {
         const std::string text = make_key(silverreach::registry::random_bytes());
-        make(IssueKey{std::string(look_at(text).id), account,
-                      hash_of(store->registry().pepper(), text), now() - Wall(10'000), cutoff});
+        make(IssueKey{std::string(parse_key(text).id), account,
+                      hash_key(store->registry().pepper(), text), now() - UnixTime(10'000),
+                      cutoff});
         return text;
     }
-    std::string rotate(const std::string& old, Wall overlap) {
+    std::string rotate(const std::string& old, UnixTime overlap) {
         const std::string text = make_key(silverreach::registry::random_bytes());
-        make(RotateKey{std::string(look_at(old).id), std::string(look_at(text).id),
-                       hash_of(store->registry().pepper(), text), overlap});
+        make(RotateKey{std::string(parse_key(old).id), std::string(parse_key(text).id),
+                       hash_key(store->registry().pepper(), text), overlap});
         return text;
     }
     Options options() const {
--- a/tests/gateway/keys_test.cpp
+++ b/tests/gateway/keys_test.cpp
@@ -4,7 +4,7 @@
 using namespace key_test;
 
 namespace {
-// Asks again and again, each time with the loop at rest in between.
+// Checks repeatedly, with the loop running in between.
 bool eventually(TestGateway& g, const std::function<bool()>& holds) {
     for (int i = 0; i < 100; ++i) {
         if (holds()) return true;
@@ -19,15 +19,15 @@
     const std::string first = keys.issue("birds");
     TestGateway g(keys.options());
     EXPECT_EQ(status(g.talk(with(first))), 200);
-    const std::string second = keys.rotate(first, Wall(3'600'000));
+    const std::string second = keys.rotate(first, UnixTime(3'600'000));
     ASSERT_TRUE(eventually(g, [&] { return status(g.talk(with(second))) == 200; }))
-        << "within a look of the folder";
+        << "within one check of the folder";
     EXPECT_EQ(status(g.talk(with(first))), 200) << "both work in the overlap";
-    keys.make(RevokeKey{std::string(look_at(first).id), now(), Cause::leaked});
+    keys.make(RevokeKey{std::string(parse_key(first).id), now(), RevocationCause::leaked});
     ASSERT_TRUE(eventually(g, [&] { return status(g.talk(with(first))) == 401; }));
     const std::string answer = g.talk(with(first));
     EXPECT_TRUE(has(answer, "the key has ended"));
-    EXPECT_FALSE(has(answer, first.substr(14))) << "no word of the key in the answer";
+    EXPECT_FALSE(has(answer, first.substr(14))) << "none of the key's text in the response";
     EXPECT_EQ(status(g.talk(with(second))), 200);
     const std::size_t received = g.requests();
     std::string mistyped = second;
@@ -54,7 +54,7 @@
     EXPECT_LE(served, 2) << "a burst of two for all of them together";
 }
 
-TEST(Keys, APlanThatThisInstanceDoesNotKnowServesNobody) {
+TEST(Keys, AnAccountOfAnUnknownPlanIsRejected) {
     Keys keys;
     keys.make(PutAccount{"lost", "unheard-of"});
     const std::string key = keys.issue("lost");
@@ -63,7 +63,7 @@
     EXPECT_EQ(g.requests(), 0u);
 }
 
-TEST(Keys, AnOlderOrDamagedRegistryLeavesTheOneInMemory) {
+TEST(Keys, AnOlderOrDamagedRegistryIsNotUsed) {
     Keys keys;
     const std::string key = keys.issue("birds");
     TestGateway g(keys.options());
@@ -72,7 +72,7 @@
             ("cp -p '" + keys.folder + "/" + from + "' '" + keys.folder + "/" + to + "'").c_str());
     };
     copy("log", "old-log"), copy("mark", "old-mark");
-    keys.make(RevokeKey{std::string(look_at(key).id), now(), Cause::leaked});
+    keys.make(RevokeKey{std::string(parse_key(key).id), now(), RevocationCause::leaked});
     ASSERT_TRUE(eventually(g, [&] { return status(g.talk(with(key))) == 401; }));
     copy("old-log", "log"), copy("old-mark", "mark");
     g.run([] { return false; }, 300ms);
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -4,7 +4,7 @@
 #include "discovery/start_time_converter.h"
 #include "http/parser.h"
 #include "peers/envelope.h"
-#include "upstream/http/upstream.h"
+#include "upstream/http/load_report.h"
 
 using namespace silverreach;
 using namespace silverreach::http;
