--- a/src/accounts/change_log.cpp
+++ b/src/accounts/change_log.cpp
@@ -12,7 +12,7 @@
 constexpr int checksum_width = 8;
 constexpr int marker_field_width = 8;
 constexpr std::size_t record_header_bytes = length_width + checksum_width;
-constexpr std::size_t marker_checked_bytes = 2 * marker_field_width;
+constexpr std::size_t marker_checked_bytes = std::size_t{2} * marker_field_width;
 
 std::uint64_t checksum_of(std::string_view bytes) {
     return XXH64(bytes.data(), bytes.size(), 0);
