--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -41,17 +41,18 @@
     }
     if (config.has_registry()) {
         const std::string& name = config.registry();
-        registry::Book::Hooks hooks;
-        hooks.taken = [this](std::uint64_t version) {
+        registry::ReloadingKeyIndex::Callbacks callbacks;
+        callbacks.on_loaded = [this](std::uint64_t version) {
             log_.write(log::Level::warning, "registry", {{"version", whole(version)}});
         };
-        hooks.kept = [this](const std::string& why) {
-            log_.write(log::Level::error, "registry_kept", {{"why", why}});
+        callbacks.on_load_failed = [this](const std::string& reason) {
+            log_.write(log::Level::error, "registry_kept", {{"why", reason}});
         };
-        accounts_ = std::make_unique<registry::Book>(
-            loop, config, name.starts_with('/') ? name : folder_ + "/" + name, std::move(hooks));
+        key_index_ = std::make_unique<registry::ReloadingKeyIndex>(
+            loop, config, name.starts_with('/') ? name : folder_ + "/" + name,
+            std::move(callbacks));
     } else {
-        accounts_ = std::make_unique<config::Accounts>(config);
+        key_index_ = std::make_unique<config::StaticKeyIndex>(config);
     }
     const std::uint64_t seed = seed_of(config);
     core_ = std::make_unique<core::RequestCoordinator>(
@@ -60,9 +61,10 @@
     upstream_ = std::make_unique<upstream_http::Upstream>(
         loop, config, static_cast<upstream_http::AttemptCallbacks&>(*this));
     if (config.has_peers())
-        peers_ = std::make_unique<peers::Peers>(loop, config, [this](int rank, std::string bytes) {
-            core_->on_peer_message(loop_.now(), {rank, std::move(bytes)});
-        });
+        peers_ = std::make_unique<peers::EnvelopeTransport>(
+            loop, config, [this](int rank, std::string bytes) {
+                core_->on_peer_message(loop_.now(), {rank, std::move(bytes)});
+            });
     frontend::http::FrontendCallbacks callbacks;
     callbacks.description = [this] { return description_; };
     callbacks.log_access = [this](const frontend::http::AccessLogEntry& entry) {
@@ -72,24 +74,27 @@
         const int instances = std::max(1, config_.peers().peer_size());
         return core_->subset_of(account.name).contains(config_.peers().rank(), instances);
     };
-    discovery::Roster::Hooks list;
-    list.changed = [this](std::vector<EndpointEntry> hosts) { hosts_changed(std::move(hosts)); };
-    list.bad = [this](const std::vector<openapi::Problem>& found) {
+    discovery::EndpointDiscoveryCallbacks discovery_callbacks;
+    discovery_callbacks.on_endpoints = [this](std::vector<EndpointEntry> hosts) {
+        hosts_changed(std::move(hosts));
+    };
+    discovery_callbacks.on_invalid_list = [this](const std::vector<openapi::Problem>& found) {
         for (const auto& p : found)
             log_.write(log::Level::error, "hosts_bad", {{"problem", openapi::to_string(p)}});
     };
-    list.unreachable = [this](const std::string& why) {
-        log_.write(log::Level::warning, "hosts_unreachable", {{"why", why}});
+    discovery_callbacks.on_unavailable = [this](const discovery::DiscoveryError& error) {
+        log_.write(log::Level::warning, "hosts_unreachable", {{"why", error.message()}});
     };
-    frontend_ = std::make_unique<frontend::http::Frontend>(loop, config, *accounts_, *core_,
+    frontend_ = std::make_unique<frontend::http::Frontend>(loop, config, *key_index_, *core_,
                                                            std::move(callbacks));
-    roster_ = std::make_unique<discovery::Roster>(loop, config, folder_, std::move(list));
+    discovery_ =
+        discovery::start_endpoint_discovery(loop, config, folder_, std::move(discovery_callbacks));
 }
 Instance::~Instance() {
     alive_.reset();
     // The front's connections may tell the core of their end; the core may still send: in this
     // order none is missing.
-    roster_.reset();
+    discovery_.reset();
     frontend_.reset();
     upstream_.reset();
 }
@@ -177,7 +182,8 @@
         {"sent", whole(p.sent)}, {"received", whole(p.received)}, {"not_sent", whole(p.lost)}};
     for (std::size_t i = 1; i < p.dropped.size(); ++i)
         if (p.dropped[i] > 0)
-            fields.push_back({peers::to_string(static_cast<peers::Drop>(i)), whole(p.dropped[i])});
+            fields.push_back(
+                {peers::to_string(static_cast<peers::DropReason>(i)), whole(p.dropped[i])});
     log_.write(log::Level::info, "peers", fields);
 }
 
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -8,14 +8,14 @@
 #include "cli/files.h"
 #include "config/config.h"
 #include "core/request_coordinator.h"
-#include "discovery/roster.h"
+#include "discovery/endpoint_discovery.h"
 #include "event/background_task.h"
 #include "event/loop.h"
 #include "event/timer_wheel.h"
 #include "frontend/http/frontend.h"
 #include "log/log.h"
-#include "peers/peers.h"
-#include "registry/book.h"
+#include "peers/envelope_transport.h"
+#include "registry/key_index.h"
 #include "upstream/http/upstream.h"
 
 namespace silverreach::cli {
@@ -69,7 +69,7 @@
     const config::Config& config_;
     std::string folder_;
     log::Log& log_;
-    std::unique_ptr<config::AccountBook> accounts_;
+    std::unique_ptr<config::KeyIndex> key_index_;
     std::shared_ptr<const openapi::Description> description_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     event::TimerWheel timers_;
@@ -77,9 +77,9 @@
     bool reload_again_ = false;
     std::unique_ptr<core::RequestCoordinator> core_;
     std::unique_ptr<upstream_http::Upstream> upstream_;
-    std::unique_ptr<peers::Peers> peers_;
+    std::unique_ptr<peers::EnvelopeTransport> peers_;
     std::unique_ptr<frontend::http::Frontend> frontend_;
-    std::unique_ptr<discovery::Roster> roster_;
+    std::unique_ptr<discovery::EndpointDiscovery> discovery_;
 };
 
 }  // namespace silverreach::cli
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -57,7 +57,7 @@
     upstream_ = std::make_unique<upstream_resp::Upstream>(
         loop, upstream, static_cast<upstream_resp::AttemptCallbacks&>(*this));
     if (config_.peer_listen && config_.settings.may_message_peers)
-        peers_ = std::make_unique<peers::PlainPeers>(
+        peers_ = std::make_unique<peers::RawTransport>(
             loop, *config_.peer_listen, config_.peers, config_.peers_all, config_.settings.rank,
             [this](int rank, std::string bytes) {
                 core_->on_peer_message(now(), {rank, std::move(bytes)});
@@ -81,17 +81,18 @@
                     {"in_hand", whole(close.requests_in_flight)},
                     {"open_us", std::int64_t{close.open_for.count()}}});
     });
-    discovery::Watch::Hooks hooks;
-    hooks.changed = [this](const platform::TargetList& list) { hosts_changed(list); };
-    hooks.lost = [this](const std::string& why) {
-        log_.write(log::Level::warning, "discovery_lost", {{"why", why}});
+    discovery::DiscoveryWatch::Callbacks callbacks;
+    callbacks.on_list = [this](const platform::TargetList& list) { hosts_changed(list); };
+    callbacks.on_unavailable = [this](const discovery::DiscoveryError& error) {
+        log_.write(log::Level::warning, "discovery_lost", {{"why", error.message()}});
     };
     const std::int64_t from = config_.known.targets.empty() ? -1 : config_.known.revision;
-    watch_ = std::make_unique<discovery::Watch>(loop, config_.discovery, from, std::move(hooks));
+    discovery_watch_ = std::make_unique<discovery::DiscoveryWatch>(loop, config_.discovery, from,
+                                                                   std::move(callbacks));
 }
 Node::~Node() {
     alive_.reset();
-    watch_.reset();
+    discovery_watch_.reset();
     frontend_.reset();
     upstream_.reset();
 }
@@ -112,7 +113,7 @@
 
 void Node::reload(const platform::NodeConfig& fresh) {
     log_.write(log::Level::warning, "configuration", {{"discovery", fresh.discovery.text()}});
-    watch_->move(fresh.discovery);
+    discovery_watch_->redirect(fresh.discovery);
 }
 
 void Node::drain(Micros still, Micros most, std::function<void()> done) {
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -8,12 +8,12 @@
 #include <string>
 
 #include "core/request_coordinator.h"
-#include "discovery/watch.h"
+#include "discovery/discovery_watch.h"
 #include "event/loop.h"
 #include "event/timer_wheel.h"
 #include "frontend/resp/frontend.h"
 #include "log/log.h"
-#include "peers/plain.h"
+#include "peers/raw_transport.h"
 #include "platform/config.h"
 #include "upstream/resp/upstream.h"
 
@@ -73,9 +73,9 @@
     event::TimerWheel timers_;
     std::unique_ptr<core::RequestCoordinator> core_;
     std::unique_ptr<upstream_resp::Upstream> upstream_;
-    std::unique_ptr<peers::PlainPeers> peers_;
+    std::unique_ptr<peers::RawTransport> peers_;
     std::unique_ptr<frontend::resp::Frontend> frontend_;
-    std::unique_ptr<discovery::Watch> watch_;
+    std::unique_ptr<discovery::DiscoveryWatch> discovery_watch_;
     bool draining_ = false;
     std::array<std::uint64_t, 7> refused_{};  // by RefuseReason
     std::array<std::uint64_t, 8> ended_{};    // attempts, by Outcome
