--- a/bench/parts_bench.cpp
+++ b/bench/parts_bench.cpp
@@ -108,8 +108,8 @@
             in.head, "/sites/merja/tally", identity, "127.0.0.1", "silverreach-0", 0));
         answers.feed(answer);
         answers.next();
-        benchmark::DoNotOptimize(frontend::http::response_head_for_client(out.head, {}, identity.request_id,
-                                                                 "silverreach-0", framing));
+        benchmark::DoNotOptimize(frontend::http::response_head_for_client(
+            out.head, {}, identity.request_id, "silverreach-0", framing));
     }
 }
 BENCHMARK(codec);
--- a/fakes/client.cpp
+++ b/fakes/client.cpp
@@ -129,6 +129,8 @@
     const Micros wait(static_cast<std::int64_t>(std::min(gap(random_), 2.0) * 1e6));
     loop_.after(wait, [this, i, alive = std::weak_ptr<bool>(alive_)] {
         if (alive.expired()) return;
+        // Nothing is sent after the end: the scenario may have stopped recording.
+        if (loop_.now() - begin_ >= flows_[i].second) return;
         const std::string id = make_id();
         send({flows_[i].first, id, "op-" + id, 0});
         arrive(i);
--- a/include/silverreach/interface.h
+++ b/include/silverreach/interface.h
@@ -54,8 +54,9 @@
     Micros latency_objective{0};     // a response within this time has the full weight; above 0
     Micros deadline{0};              // time until the client gives up; above 0
     Micros deduplication_window{0};  // how long endpoints remember an idempotency key
-    double priority_weight = 1;      // value of one response, relative to other classes
-    double late_weight_factor = 0;   // share of the weight left after the latency objective
+    // For the host program; no decision reads these two.
+    double priority_weight = 1;     // value of one response, relative to other classes
+    double late_weight_factor = 0;  // share of the weight left after the latency objective
 };
 
 // The quota of each customer of this plan. Quotas hold over all instances together.
@@ -64,7 +65,7 @@
     double rate = 0;                  // units per second; 0: no rate quota
     double burst = 0;                 // capacity of the token bucket, in units
     int max_concurrent_attempts = 0;  // attempts in flight in the fleet; 0: no limit
-    double priority_factor = 1;       // multiplies RequestClass::priority_weight
+    double priority_factor = 1;       // multiplies RequestClass::priority_weight; in no decision
     double excess_weight_factor = 0;  // share of the weight that a request beyond the quota has
     double excess_cost_factor = 0;    // share of the weight that an attempt beyond the quota costs
     double ceiling_rate = 0;          // units per second, never exceeded; 0: no ceiling
@@ -90,10 +91,12 @@
     bool units_corrected_by_response = false;  // AttemptEnded::actual_units replaces the estimate
     LoadReportMode load_report_mode = LoadReportMode::none;
     // How the endpoints behave, and what they cost.
-    Micros timer_tick{0};               // resolution of the host program's timers
-    Micros slow_start_window{0};        // time in which a started endpoint warms up; 0: none
-    Micros overload_window{0};          // an endpoint that warms up fails when it is sent
-    double overload_factor = 1;         // this multiple of its capacity for that long
+    Micros timer_tick{0};         // resolution of the host program's timers
+    Micros slow_start_window{0};  // time in which a started endpoint warms up; 0: none
+    // An endpoint that warms up fails when it gets `overload_factor` times what its capacity allows
+    // within `overload_window`. The window itself enters no decision.
+    Micros overload_window{0};
+    double overload_factor = 1;
     double initial_capacity_share = 1;  // capacity at the start, as a share of the full one
     double cross_zone_cost = 0;         // price of an attempt in another zone; 0: none
 };
@@ -144,7 +147,8 @@
     std::vector<EndpointEntry> endpoints;
 };
 // Starts a request. The engine ends it by exactly one RejectRequest or FailRequest, unless a
-// successful attempt or the client ends it first.
+// successful attempt or the client ends it first. An arrival with an unknown class or plan, or with
+// an id that is in use, is ignored.
 struct RequestArrived {
     RequestId id = 0;
     std::string customer;
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -40,7 +40,7 @@
       config_(std::move(config)),
       log_(log),
       offset_(unix_now() - event::Loop::clock()),
-      judge_(config_),
+      command_validator_(config_),
       timers_(loop, [this](std::uint64_t token) { core_->on_timer(now(), {token}); }) {
     core_ = std::make_unique<core::RequestCoordinator>(config_.settings, 0, config_.seed, now(),
                                                        static_cast<core::Environment&>(*this));
@@ -71,8 +71,8 @@
     limits.max_connections = clients - limits.max_lingering;
     limits.max_buffered_bytes =
         static_cast<std::size_t>(config_.limits.memory_mb) * 1024 * 1024 / 16;
-    frontend_ = std::make_unique<frontend::resp::Frontend>(loop, config_.listen, judge_, limits,
-                                                           *core_, [this] { return now(); });
+    frontend_ = std::make_unique<frontend::resp::Frontend>(
+        loop, config_.listen, command_validator_, limits, *core_, [this] { return now(); });
     frontend_->on_shortage([this] { return upstream_->evict_unused() || frontend_->close_idle(); });
     frontend_->on_close([this](const frontend::resp::ConnectionClose& close) {
         if (!log_.wants(log::Level::debug)) return;
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -68,7 +68,7 @@
     // The core's clock is Unix time as this process found it at its start, moved on by the
     // monotonic clock: hosts' start times are in it, and it never goes back.
     const Micros offset_;
-    platform::Judge judge_;
+    platform::CommandValidator command_validator_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     event::TimerWheel timers_;
     std::unique_ptr<core::RequestCoordinator> core_;
--- a/src/decisions/admission/overload_detector.h
+++ b/src/decisions/admission/overload_detector.h
@@ -26,7 +26,7 @@
     static constexpr double overloaded_above = 0.25;
     static constexpr double recovered_at = 0.20;
     static constexpr double spare_capacity_below = 0.08;
-    static constexpr double sample_weight = 0.04;
+    static constexpr double sample_weight = 0.04;  // the mean follows some 25 outcomes
 
     double slow_share_ = 0;
     bool overloaded_ = false;
--- a/src/decisions/decision_engine.cpp
+++ b/src/decisions/decision_engine.cpp
@@ -124,7 +124,7 @@
         quota_.on_heartbeat();
         if (context_.now - swept_at_ < state_sweep_period) return;
         swept_at_ = context_.now;
-        load_balancer_.remove_idle();
+        load_balancer_.refresh_endpoints();
         clear_candidates();
         quota_.remove_idle();
     }
--- a/src/decisions/load_balancing/endpoint_table.cpp
+++ b/src/decisions/load_balancing/endpoint_table.cpp
@@ -25,7 +25,10 @@
     const auto [it, is_new] = endpoints_.try_emplace(entry.id);
     Endpoint& endpoint = it->second;
     if (is_new || entry.started_at != endpoint.entry.started_at) {
-        endpoint.attempts_in_flight = std::exchange(endpoint, Endpoint{}).attempts_in_flight;
+        // Attempts at the former incarnation still end; nothing else of it is kept.
+        const int attempts_in_flight = endpoint.attempts_in_flight;
+        endpoint = Endpoint{};
+        endpoint.attempts_in_flight = attempts_in_flight;
         endpoint.last_considered = context_.now;
         endpoint.last_response = context_.now;
         endpoint.order_key = hash_name(entry.id + ' ' + std::to_string(context_.settings.rank));
--- a/src/decisions/load_balancing/load_balancer.cpp
+++ b/src/decisions/load_balancing/load_balancer.cpp
@@ -32,7 +32,7 @@
       selector_(context, random, endpoints_, slow_start_, estimator_, limiter_, outliers_,
                 health_checker_) {}
 
-void LoadBalancer::remove_idle() {
+void LoadBalancer::refresh_endpoints() {
     endpoints_.forget_old_starts();
     endpoints_.refresh();
 }
--- a/src/decisions/load_balancing/load_balancer.h
+++ b/src/decisions/load_balancing/load_balancer.h
@@ -34,9 +34,9 @@
 
     // Endpoint pointers from before are invalid after it.
     void on_endpoints_changed(const EndpointsChanged& change) { endpoints_.update(change); }
-    // Drops what is no longer needed of endpoints that left the list long ago; counts again which
-    // endpoints are warm.
-    void remove_idle();
+    // Forgets start times of endpoints that left the list long ago, and counts again which
+    // endpoints are warm. Removes no endpoint, but orders them anew.
+    void refresh_endpoints();
     // Null where the endpoint is not known.
     Endpoint* find(const std::string& endpoint) { return endpoints_.find(endpoint); }
     std::size_t endpoint_count() const { return endpoints_.size(); }
--- a/src/decisions/load_balancing/outlier_detector.cpp
+++ b/src/decisions/load_balancing/outlier_detector.cpp
@@ -8,8 +8,7 @@
 
 constexpr int consecutive_failures_to_eject = 3;
 constexpr Micros base_ejection_time = 500ms;
-constexpr Micros max_ejection_time = 8s;
-constexpr int max_ejection_doublings = 4;
+constexpr int max_ejection_doublings = 4;  // 8 s at most
 constexpr Micros failed_health_check_pause = 250ms;
 constexpr Micros avoidance_time = 20s;
 constexpr int overdue_to_avoid_class = 2;  // in a row
@@ -40,8 +39,7 @@
     endpoint.failures += count;
     if (endpoint.failures < consecutive_failures_to_eject || is_ejected(endpoint)) return;
     const int doublings = std::min(endpoint.ejections, max_ejection_doublings);
-    endpoint.ejected_until =
-        context_.now + std::min(max_ejection_time, base_ejection_time * (1 << doublings));
+    endpoint.ejected_until = context_.now + base_ejection_time * (1 << doublings);
     ++endpoint.ejections;
 }
 
--- a/src/decisions/quota/lease_terms.h
+++ b/src/decisions/quota/lease_terms.h
@@ -1,3 +1,7 @@
+// A lease is an amount of a customer's quota that its owner grants to another instance, the holder.
+// A standing lease is a share of the plan's rate: until it expires the holder refills its store by
+// its own clock at that share, without further messages.
+//
 // The terms of leases on which owner and holders have to agree: how often they are renewed, when
 // they expire, and how a plan's burst and ceiling are divided between the owner and the holders.
 //
--- a/src/decisions/quota/quota_ledger.h
+++ b/src/decisions/quota/quota_ledger.h
@@ -39,6 +39,7 @@
     // Decides on a request of the instance `rank`. Grants what is required or nothing; on top, by
     // the holder's share of the demand, at most half of the rest; and a standing lease.
     LeaseGrant grant(const LeaseRequest& request, int rank);
+    // When grant() was called last; it alone refills.
     Micros last_request_at() const { return refilled_at_; }
 
   private:
--- a/src/decisions/retry/overdue_attempt_check.h
+++ b/src/decisions/retry/overdue_attempt_check.h
@@ -37,7 +37,7 @@
   private:
     OverdueDecision check_responsive(const RequestState& request, Endpoint& endpoint);
     OverdueDecision check_unresponsive(const RequestState& request, Endpoint& endpoint);
-    // None where the response is still within `due_s`.
+    // Checks again when the response will have taken `due_s`; none once it has.
     OverdueDecision check_when_due(const RequestState& request, double due_s) const;
     OverdueDecision replace_attempt(const RequestState& request) const;
     Idempotency idempotency_of(const RequestState& request) const;
--- a/src/frontend/resp/frontend.h
+++ b/src/frontend/resp/frontend.h
@@ -1,6 +1,6 @@
 // The platform's front end: RESP2 clients over TCP. It reads commands, hands requests to the core
-// and writes each connection's responses in the order of its commands. platform::Judge decides
-// whether a command is valid, the core what becomes of it.
+// and writes each connection's responses in the order of its commands. platform::CommandValidator
+// decides whether a command is valid, the core what becomes of it.
 //
 // Protection against clients: silent and unfinished connections are closed in time; a broken frame
 // gets one error line and the end; requests in flight, buffered bytes and unread responses are
@@ -27,11 +27,11 @@
 // Used on the loop's thread.
 class Frontend {
   public:
-    // `clock` gives the core's time. Loop, judge and core must outlive the front end. Throws
+    // `clock` gives the core's time. Loop, validator and core must outlive the front end. Throws
     // event::SystemError where the address cannot be listened on.
-    Frontend(event::Loop& loop, const config::Endpoint& listen, const platform::Judge& judge,
-             const FrontendLimits& limits, core::RequestCoordinator& core,
-             std::function<Micros()> clock);
+    Frontend(event::Loop& loop, const config::Endpoint& listen,
+             const platform::CommandValidator& validator, const FrontendLimits& limits,
+             core::RequestCoordinator& core, std::function<Micros()> clock);
 
     int port() const { return connections_.port(); }
     bool listening() const { return connections_.listening(); }
--- a/src/frontend/resp/frontend_context.h
+++ b/src/frontend/resp/frontend_context.h
@@ -24,7 +24,7 @@
 
 // Owned by the Frontend; outlives the connections.
 struct FrontendContext {
-    const platform::Judge& judge;
+    const platform::CommandValidator& validator;
     core::RequestCoordinator& core;
     std::function<Micros()> clock;  // the core's time
     BufferBudget buffer_budget;
--- a/src/frontend/resp/resp_connection.cpp
+++ b/src/frontend/resp/resp_connection.cpp
@@ -146,7 +146,7 @@
 
 void RespConnection::handle_command(const std::vector<std::string_view>& words, Micros waited) {
     const std::string_view command = words.front();
-    if (platform::Judge::is_request(command)) return start_request(words, waited);
+    if (platform::CommandValidator::is_request(command)) return start_request(words, waited);
     if (command == "PING" && words.size() == 1) return responses_.add_ready("+PONG\r\n");
     if (command == "PING" && words.size() == 2) {
         std::string response;
@@ -159,7 +159,7 @@
 
 // `waited`: the time since the command's last byte arrived.
 void RespConnection::start_request(const std::vector<std::string_view>& words, Micros waited) {
-    platform::Request request = context_.judge.judge(words);
+    platform::Request request = context_.validator.validate(words);
     if (!request.error.empty()) return reject_command(request.error);
     if (context_.requests.has_client_id(request.id))
         return reject_command("id: a request of that name is open");
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -48,7 +48,7 @@
     return out += tail;
 }
 
-Judge::Judge(const NodeConfig& config)
+CommandValidator::CommandValidator(const NodeConfig& config)
     : instances_(config.settings.instance_count), most_units_(std::max(1.0, config.most_units)) {
     const Settings& s = config.settings;
     for (std::size_t i = 0; i < s.classes.size(); ++i) {
@@ -60,11 +60,11 @@
         plans_[s.plans[i].name] = static_cast<int>(i);
 }
 
-bool Judge::is_request(std::string_view command) {
+bool CommandValidator::is_request(std::string_view command) {
     return command == query || command == submit;
 }
 
-Request Judge::judge(const std::vector<std::string_view>& words) const {
+Request CommandValidator::validate(const std::vector<std::string_view>& words) const {
     Request r;
     const auto no = [&r](const char* why) -> Request&& { return r.error = why, std::move(r); };
     const bool asks = words.front() == query;
--- a/src/platform/request.h
+++ b/src/platform/request.h
@@ -1,5 +1,5 @@
-// A client's command as the platform words it, judged as a whole: either a request for the core and
-// the command for hosts, or one plain error and nothing of it goes any further. No I/O.
+// A client's command in the platform's form, validated as a whole: either a request for the core
+// and the command for hosts, or one plain error and nothing of it goes any further. No I/O.
 #pragma once
 
 #include <string>
@@ -29,11 +29,11 @@
     OutCommand out;
 };
 
-class Judge {
+class CommandValidator {
   public:
-    explicit Judge(const NodeConfig& config);
+    explicit CommandValidator(const NodeConfig& config);
     // `words`: those of one command, SVC.QUERY or SVC.SUBMIT first.
-    Request judge(const std::vector<std::string_view>& words) const;
+    Request validate(const std::vector<std::string_view>& words) const;
     static bool is_request(std::string_view command);
 
   private:
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -29,17 +29,17 @@
     if (at == std::string::npos) ADD_FAILURE() << "no " << part;
     return text.replace(at, part.size(), instead);
 }
-const Judge& judge() {
-    static const Judge j(parsed(node_test::config_json()));
+const CommandValidator& validator() {
+    static const CommandValidator j(parsed(node_test::config_json()));
     return j;
 }
 const std::string customer = "00000000b4d65521", id = "9b1f03aa5c7e2d41";
 Request ask(const std::string& list, const std::string& who = customer,
             const std::string& name = id) {
-    return judge().judge({"SVC.QUERY", who, name, list});
+    return validator().validate({"SVC.QUERY", who, name, list});
 }
 Request put(const std::string& list) {
-    return judge().judge({"SVC.SUBMIT", customer, id, list, "BODY"});
+    return validator().validate({"SVC.SUBMIT", customer, id, list, "BODY"});
 }
 }  // namespace
 
@@ -88,7 +88,7 @@
         without(without(good, R"("endpoint":"10.1.0.18:6379",)"), "draining", "gone")));
 }
 
-TEST(Judge, GoodCommandsGoOnUnchangedButForTheTime) {
+TEST(CommandValidator, GoodCommandsGoOnUnchangedButForTheTime) {
     const Request q = ask("c=lookup,t=team,d=480,units=2,spread=3,first=1,x=y");
     ASSERT_EQ(q.error, "");
     EXPECT_EQ(q.id, 0x9b1f03aa5c7e2d41u);
@@ -108,7 +108,7 @@
     EXPECT_TRUE(s.out.with(1s).ends_with("$4\r\nBODY\r\n"));
 }
 
-TEST(Judge, NonsenseIsNamed) {
+TEST(CommandValidator, NonsenseIsNamed) {
     const std::string rest = ",t=team,d=480,units=1,spread=3,first=1";
     for (const char* list : {"",
                              "c",
@@ -145,13 +145,13 @@
                             "-000000000000001", "zzzzzzzzzzzzzzzz"})
         EXPECT_NE(ask("c=lookup" + rest, who).error, "") << who;
     EXPECT_NE(ask("c=lookup" + rest, customer, "").error, "");
-    EXPECT_NE(judge().judge({"SVC.QUERY", customer, id}).error, "");
-    EXPECT_NE(judge()
-                  .judge({"SVC.SUBMIT", customer, id, "c=order,t=team,d=480,k=5c0f6e1a2b3d4c59"})
+    EXPECT_NE(validator().validate({"SVC.QUERY", customer, id}).error, "");
+    EXPECT_NE(validator()
+                  .validate({"SVC.SUBMIT", customer, id, "c=order,t=team,d=480,k=5c0f6e1a2b3d4c59"})
                   .error,
               "");
 }
 
-TEST(Judge, ADeadlineBeyondTheClassIsCut) {
+TEST(CommandValidator, ADeadlineBeyondTheClassIsCut) {
     EXPECT_EQ(ask("c=lookup,t=team,d=3000000").attempt.time_remaining, 2s);
 }
--- a/tests/soak/ledger.h
+++ b/tests/soak/ledger.h
@@ -1,5 +1,5 @@
-// The soak test's judge: it is told what passed on the sockets and says which promises were broken.
-// No I/O and no clock: every call names the time.
+// The soak test's validator: it is told what passed on the sockets and says which promises were
+// broken. No I/O and no clock: every call names the time.
 #pragma once
 
 #include <chrono>
--- a/tests/soak/ledger_test.cpp
+++ b/tests/soak/ledger_test.cpp
@@ -1,4 +1,4 @@
-// The judge of the soak test sees each breach, and nothing where the promises are kept.
+// The validator of the soak test sees each breach, and nothing where the promises are kept.
 #include "tests/soak/ledger.h"
 
 #include <gtest/gtest.h>
--- a/tests/soak/world.cpp
+++ b/tests/soak/world.cpp
@@ -398,8 +398,8 @@
 // ---- the world
 // -------------------------------------------------------------------------------------------
 
-World::World(event::Loop& l, Size s, std::uint64_t seed, Ledger& judge)
-    : loop(l), size(s), ledger(judge), random(seed) {
+World::World(event::Loop& l, Size s, std::uint64_t seed, Ledger& validator)
+    : loop(l), size(s), ledger(validator), random(seed) {
     int ends[2];
     if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("soak: no pipe");
     full_pipe_read_ = event::Fd(ends[0]), full_pipe_write_ = event::Fd(ends[1]);
