--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -1,10 +1,10 @@
 #include "cli/commands.h"
 
 #include <fmt/format.h>
-#include <signal.h>
 #include <sys/resource.h>
 
 #include <CLI/CLI.hpp>
+#include <csignal>
 #include <iostream>
 #include <iterator>
 #include <memory>
--- a/src/cli/files.cpp
+++ b/src/cli/files.cpp
@@ -3,6 +3,7 @@
 #include <fcntl.h>
 #include <unistd.h>
 
+#include <array>
 #include <cerrno>
 
 namespace silverreach::cli {
@@ -16,12 +17,12 @@
 }
 std::optional<std::string> read_all(int fd) {
     std::string text;
-    char buffer[65536];
+    std::array<char, 65536> buffer;
     while (true) {
-        const ssize_t n = ::read(fd, buffer, sizeof buffer);
+        const ssize_t n = ::read(fd, buffer.data(), buffer.size());
         if (n == 0) return text;
         if (n > 0)
-            text.append(buffer, static_cast<std::size_t>(n));
+            text.append(buffer.data(), static_cast<std::size_t>(n));
         else if (errno != EINTR)
             return std::nullopt;
     }
--- a/src/cli/keys.cpp
+++ b/src/cli/keys.cpp
@@ -3,6 +3,7 @@
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
+#include <array>
 #include <ctime>
 #include <iostream>
 
@@ -30,9 +31,9 @@
     const std::time_t seconds = time.count() / 1000;
     std::tm t{};
     gmtime_r(&seconds, &t);
-    char text[32];
-    std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%SZ", &t);
-    return text;
+    std::array<char, 32> text{};
+    std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%SZ", &t);
+    return text.data();
 }
 
 int guarded(const std::function<int()>& body) {
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -116,11 +116,11 @@
     discovery_watch_->redirect(fresh.discovery);
 }
 
-void Node::drain(Micros still, Micros most, std::function<void()> done) {
+void Node::drain(Micros notice, Micros most, std::function<void()> done) {
     if (std::exchange(draining_, true)) return;
     log_.write(log::Level::warning, "draining", {{"in_hand", whole(frontend_->in_flight())}});
     const Micros end = loop_.now() + most;
-    loop_.after(still,
+    loop_.after(notice,
                 [this, end, done = std::move(done), alive = std::weak_ptr<bool>(alive_)]() mutable {
                     if (alive.expired()) return;
                     frontend_->start_draining(end);
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -31,7 +31,8 @@
     void reload(const platform::NodeConfig& fresh);
     // Goes on serving for `notice`, while clients still come; then takes no new connection and
     // calls `done` once all that it has taken is answered. What comes meanwhile is answered within
-    // `most` from now. A second call changes nothing.
+    // `most` from now, and what comes within `notice` is still accepted. A second call changes
+    // nothing.
     void drain(Micros notice, Micros most, std::function<void()> done);
     void log_counts();
     log::Fields limits() const;  // by which it runs, for the log
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -237,8 +237,8 @@
     e.v6 = ip.size() > 2 && ip.front() == '[' && ip.back() == ']';
     if (e.v6) ip = ip.substr(1, ip.size() - 2);
     e.ip = ip;
-    unsigned char bytes[16];
-    if (inet_pton(e.v6 ? AF_INET6 : AF_INET, e.ip.c_str(), bytes) != 1) return std::nullopt;
+    std::array<unsigned char, sizeof(in6_addr)> bytes{};
+    if (inet_pton(e.v6 ? AF_INET6 : AF_INET, e.ip.c_str(), bytes.data()) != 1) return std::nullopt;
     return e;
 }
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -6,6 +6,7 @@
 #include <spdlog/spdlog.h>
 #include <unistd.h>
 
+#include <array>
 #include <cerrno>
 #include <cstring>
 #include <nlohmann/json.hpp>
@@ -34,9 +35,9 @@
     const std::time_t now = std::time(nullptr);
     std::tm parts{};
     ::gmtime_r(&now, &parts);
-    char text[32];
-    std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%S.000Z", &parts);
-    return text;
+    std::array<char, 32> text{};
+    std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S.000Z", &parts);
+    return text.data();
 }
 // Words the line that tells how many were dropped, in the log's own form.
 std::string dropped_line(Form form, std::uint64_t lines) {
--- a/src/openapi/description.cpp
+++ b/src/openapi/description.cpp
@@ -275,7 +275,7 @@
             for (const auto& [name, scopes] : alternative.members) {
                 const auto it = schemes_.find(name);
                 if (it == schemes_.end())
-                    problem(scopes, field + ".security." + name,
+                    problem(scopes, fmt::format("{}.security.{}", field, name),
                             "a name of components.securitySchemes");
                 else if (it->second && !usable)
                     usable = it->second;
@@ -400,7 +400,7 @@
             if (name.starts_with(extension) && name != "x-silverreach-class" &&
                 name != "x-silverreach-units" && name != "x-silverreach-units-from" &&
                 name != "x-silverreach-effect")
-                problem(value, field.empty() ? name : field + "." + name,
+                problem(value, field.empty() ? name : fmt::format("{}.{}", field, name),
                         "x-silverreach-class, -units, -units-from or -effect");
     }
     Found nearest(std::string_view name, const Value& operation, const Value& item) const {
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -34,10 +34,10 @@
 
 // Throws std::invalid_argument with one plain line that names the variable or the key. `variable`
 // gives an environment variable or nothing. An unknown key is passed over.
-NodeConfig read_config(std::string_view json,
+NodeConfig read_config(std::string_view text,
                        const std::function<const char*(const char*)>& variable);
 
 // Whether the text is one whole JSON object.
-bool is_object(std::string_view json);
+bool is_object(std::string_view text);
 
 }  // namespace silverreach::platform
--- a/src/platform/object_reader.h
+++ b/src/platform/object_reader.h
@@ -15,7 +15,7 @@
         whole,
         broken
     };
-    explicit ObjectReader(std::size_t most = 1024 * 1024) : most_(most) {}
+    explicit ObjectReader(std::size_t most = std::size_t{1024} * 1024) : most_(most) {}
     // Takes bytes off the front of `bytes` until an object is whole, or all are taken.
     Got look(std::string_view& bytes);
     std::string take();                            // the whole object; the next one begins
--- a/src/platform/targets.cpp
+++ b/src/platform/targets.cpp
@@ -33,11 +33,11 @@
 }
 }  // namespace
 
-std::optional<TargetList> read_targets(json::object o) try {
+std::optional<TargetList> read_targets(json::object object) try {
     TargetList list;
-    list.revision = json::as_integer(json::required(o, "rev"), "rev");
-    list.whole = json::as_bool(json::required(o, "all"), "all");
-    for (json::element e : json::as_array(json::required(o, "targets"), "targets"))
+    list.revision = json::as_integer(json::required(object, "rev"), "rev");
+    list.whole = json::as_bool(json::required(object, "all"), "all");
+    for (json::element e : json::as_array(json::required(object, "targets"), "targets"))
         list.targets.push_back(read_target(json::as_object(e, "targets[]")));
     return list;
 } catch (const json::ValueError&) {
--- a/src/platform/targets.h
+++ b/src/platform/targets.h
@@ -24,7 +24,7 @@
 
 // Nothing where any part of the text is not as the form has it: half a list is worse than an old
 // one.
-std::optional<TargetList> read_targets(simdjson::dom::object o);
-std::optional<TargetList> read_targets(std::string_view json);
+std::optional<TargetList> read_targets(simdjson::dom::object object);
+std::optional<TargetList> read_targets(std::string_view text);
 
 }  // namespace silverreach::platform
