--- a/src/decisions/quota/customer_quota.cpp
+++ b/src/decisions/quota/customer_quota.cpp
@@ -7,11 +7,12 @@
 namespace {
 
 constexpr Micros fleet_demand_validity{5'000'000};
-constexpr double min_fleet_demand_rate = 1e-9;  // divisor
-// Demand over the quota by which waiting for a lease is in vain.
+constexpr double min_fleet_demand_rate = 1e-9;  // units per second; avoids a division by 0
+// Demand on all instances, as a multiple of the quota, above which requests do not wait for a
+// lease.
 constexpr double excess_demand_factor = 1.1;
-constexpr double min_lease_coverage_s = 0.5;  // of demand, that a lease request covers
-// No lease is returned sooner after the request for it.
+constexpr double min_lease_coverage_s = 0.5;  // shortest demand that a lease request covers
+// Minimum time between a lease request and the return of the lease.
 constexpr Micros min_lease_hold{150'000};
 
 }  // namespace
@@ -38,8 +39,8 @@
     demand_.add_request(context_.now, units);
 }
 
-// What the stores hold stays, cut to the new plan's limits, and nothing is added: switching back
-// and forth refills no store. The owner's ledger follows with the next lease request.
+// The stores keep their units up to the new plan's limits and gain none, so that switching back and
+// forth between plans refills no store. The owner learns the new plan from the next lease request.
 void CustomerQuota::change_plan(int plan) {
     refill();
     plan_ = plan;
@@ -49,9 +50,9 @@
     ceiling_units_ = std::min(ceiling_units_, max_ceiling_units());
 }
 
-// The store may be overdrawn by some of what the standing lease surely brings, and by one request
-// while the demand on all instances is within the quota: the next leases cover it, and the request
-// need not wait for them.
+// The store may be overdrawn by a share of the units that the standing lease is certain to bring
+// or, while the demand on all instances is within the quota, by one request, whichever is more. The
+// next leases cover the overdraft, so that the request does not have to wait for them.
 double CustomerQuota::missing_units(double units) const {
     const Plan* const plan = this->plan();
     if (plan == nullptr || plan->rate <= 0) return 0;
@@ -156,19 +157,20 @@
            quota_owner(subset_, 0, context_.settings.instance_count) != context_.settings.rank;
 }
 
-// The standing lease's share; 0 once it expired.
+// The share of the standing lease; 0 after it has expired.
 double CustomerQuota::running_share() const {
     return context_.now < standing_until_ ? standing_share_ : 0;
 }
 
-// Units of the rate quota that the standing lease keeps here.
+// Units of the rate quota that the standing lease may store here.
 double CustomerQuota::standing_store() const {
     const Plan& plan = *this->plan();
     return standing_share_ * standing_store_share *
            terms_.standing_burst(plan.rate, plan.burst, subset_.size);
 }
 
-// Most units of the ceiling here: the even share, and the standing lease of the common rest.
+// Limit of the ceiling store: the even share of the ceiling's burst, and the standing lease's part
+// of the common share.
 double CustomerQuota::max_ceiling_units() const {
     const Plan& plan = *this->plan();
     const double burst = terms_.standing_burst(plan.ceiling_rate, plan.ceiling_burst, subset_.size);
@@ -182,7 +184,7 @@
     const Plan* const plan = this->plan();
     if (plan == nullptr) return;
     const Micros lease_time = std::max(Micros{0}, std::min(now, standing_until_) - last);
-    const double lease_s = standing_share_ * seconds(lease_time);  // of the whole quota
+    const double lease_s = standing_share_ * seconds(lease_time);  // at the plan's full rate
     const double income = lease_s * plan->rate;
     const double stored = std::clamp(standing_store() - units_, 0.0, income);
     units_ += stored;
@@ -233,8 +235,8 @@
     const Plan& plan = *this->plan();
     refill();
     holder_count_ = std::clamp(grant.holder_count, 1, context_.settings.instance_count);
-    if (grant.holder_count > 0) {  // from the owner; a successor grants no standing lease
-        // A smaller share counts from the request on, as the owner counts it.
+    if (grant.holder_count > 0) {  // sent by the owner; successors grant no standing lease
+        // A reduced share applies from the time of the request, as in the owner's ledger.
         const double lost_share_s = std::max(0.0, running_share() - grant.standing_share) *
                                     seconds(context_.now - lease_requested_at_);
         units_ -= lost_share_s * plan.rate;
@@ -247,7 +249,7 @@
             lease_requested_at_ + LeaseTerms::lease_lifetime(terms_.renewal_period(holder_count_));
     }
     units_ = std::min(units_ + grant.units, std::max(plan.burst, units_));
-    // What no waiting request uses up, the next refill cuts to the most that may be here.
+    // The next refill cuts units that no waiting request uses to max_ceiling_units().
     ceiling_units_ += grant.ceiling_units;
 }
 
--- a/src/decisions/quota/customer_quota.h
+++ b/src/decisions/quota/customer_quota.h
@@ -1,8 +1,9 @@
-// Quota accounting of one customer at this instance: the stores of units that requests use up, the
-// standing lease that refills them by the clock, and this instance's view of the demand.
+// Quota accounting of one customer at this instance: the units that its requests may use, the
+// standing lease that adds units over time, and this instance's view of the demand.
 //
-// A plan may limit by a rate quota, by a ceiling, or by both; each has a store here. The rate store
-// may be overdrawn by what a lease surely brings; the ceiling store never.
+// A plan limits by a rate quota, by a ceiling, or by both. For each of them this instance has a
+// store, which is the balance of units that requests may use here. A request may overdraw the rate
+// store by units that leases are certain to bring, but never the ceiling store.
 #pragma once
 
 #include <cstdint>
@@ -18,85 +19,92 @@
 
 namespace silverreach {
 
-// What a request took from its customer's stores and has not used yet, in units.
+// Units that a request has reserved in its customer's stores and has not used yet.
 struct Reservation {
     double units = 0;          // of the rate quota
     double ceiling_units = 0;  // of the ceiling
 };
 
-// The requests that wait for a lease, and the lease request that is in flight for them. Managed by
-// the LeaseClient.
+// The client requests that wait for a lease, and the lease request that is in flight for them.
+// Managed by the LeaseClient.
 struct PendingLease {
-    std::deque<RequestId> waiting;  // requests of clients, oldest first
-    std::uint32_t nonce = 0;        // of the lease request in flight; 0: none
-    int attempts = 0;               // lease requests sent for the first waiting request
+    std::deque<RequestId> waiting;  // oldest first
+    std::uint32_t nonce = 0;        // of the lease request in flight; 0: none in flight
+    int attempts = 0;               // lease requests sent since the last grant or fallback
     bool renewal_scheduled = false;
 
     bool in_flight() const { return nonce != 0; }
 };
 
-// Owned by the QuotaManager; single-threaded. Rates are in units a second.
+// Owned by the QuotaManager; single-threaded. Rates are in units per second.
 class CustomerQuota {
   public:
-    // `context` and `terms` outlive this. `plan` is an index into Settings::plans; below 0: no
-    // known plan, hence no quota. The stores start empty but for the ceiling's even share, which
-    // counts from the start of this instance: what an earlier incarnation used is not known.
+    // `context` and `terms` outlive this. `plan` is an index into Settings::plans; a negative value
+    // means that the plan is unknown and no quota applies. The stores start empty, because the
+    // usage of an earlier incarnation is unknown. Only the ceiling's even share accrues from the
+    // start of this instance.
     CustomerQuota(const DecisionContext& context, const LeaseTerms& terms,
                   std::uint32_t customer_hash, int plan);
 
-    // Notes a request of `units`: the demand, the subset it names, and a change of the plan.
+    // Records the demand of a request that costs `units`, and adopts its subset and its plan.
     void on_request(const RequestArrived& request, double units);
-    // Units that the rate store, or the ceiling store, lacks for a request; 0: covered.
+    // Units that the rate store, or the ceiling store, lacks to cover a request that costs `units`;
+    // 0: covered.
     double missing_units(double units) const;
     double missing_ceiling_units(double units) const;
-    // Takes `units` from the stores; from the rate store only where `within_quota`.
+    // Reserves `units` in the stores; in the rate store only if `within_quota`.
     Reservation reserve(double units, bool within_quota);
-    // An attempt is sent: the first one takes its units from the ceiling store.
+    // Call for each attempt that is sent. The first one deducts `units` from the ceiling store and
+    // ends the reservation there.
     void on_attempt_sent(Reservation& reservation, double units, bool first_attempt);
-    // Gives back what a request that was never sent had reserved.
+    // Gives back the reserved units of a request that was never sent.
     void release(const Reservation& reservation);
-    // A response reported the units that its request really cost. Changes nothing where
-    // `actual_units` is 0 (not reported) or the settings leave it out.
+    // Replaces the charged units of a request by the actual ones that its response reported. Does
+    // nothing if `actual_units` is 0 (not reported) or Settings::units_corrected_by_response is
+    // false.
     void correct_units(double charged_units, double actual_units);
-    // Retry-After where the owner's last replies show that no lease will come for `units`: it
-    // granted nothing, or the demand on all instances exceeds the quota. Else nothing.
+    // Returns the Retry-After if the owner's recent replies show that it will not grant `units`:
+    // it granted nothing, or the demand on all instances exceeds the quota. Otherwise nullopt.
     std::optional<Micros> known_shortage(double units) const;
-    // The owner granted nothing to a waiting request of `units` until `retry_after` from now.
+    // Records that the owner grants nothing to requests of `units` or more for `retry_after` from
+    // now.
     void note_shortage(double units, Micros retry_after);
-    // Where no owner responds: admits by this instance's even share of the quota, one request at a
-    // time. Over-commit is bounded by one request for each instance of the subset. Returns nothing
-    // where the stores cover `units` now, else the Retry-After; `lease_timeout` where that depends
-    // on the owner.
+    // Admits one request at a time by this instance's even share of the quota, for use while no
+    // owner responds. The quota is exceeded by at most one request for each instance of the subset.
+    // Returns nullopt if the stores now cover `units`, otherwise the Retry-After, which is
+    // `lease_timeout` if it depends on the owner.
     std::optional<Micros> draw_even_share(double units, Micros lease_timeout);
 
-    // Units a second requested here, rounded up to the step of the wire; 0 once several expected
-    // requests are missing.
+    // Demand at this instance, as DemandEstimator::rate().
     double demand_rate() const;
-    // This instance's share of the recent demand on all instances, 0 to 1; an even one where the
-    // owner did not report that demand lately.
+    // This instance's share of the recent demand on all instances, 0 to 1. It is at least the even
+    // share, and equal to it if the owner has not reported that demand recently.
     double demand_share() const;
     bool is_steady() const { return terms_.is_steady(demand_rate(), holder_count_); }
-    // True where another instance is the owner, it replied within a lease lifetime, and it gets
-    // lease requests steadily.
+    // True if another instance is the owner, that owner has replied within a lease lifetime, and
+    // the demand reported to it is steady.
     bool has_recent_owner_report() const;
 
-    // Adds what the standing lease and the even share of the ceiling brought since the last call.
-    // What exceeds the rate store is overflow, and goes back to the owner.
+    // Adds the units that the standing lease and the even share of the ceiling have brought since
+    // the last call. Leased units of the rate quota (of the ceiling in a plan without a rate quota)
+    // that exceed what may be stored here are returned to the owner with the next lease request.
     void refill();
-    // The next lease request: for `waiting_units` that the first waiting request costs, or, with
-    // none waiting, for the demand until the next renewal. Deducts the units that it returns.
+    // Builds the next lease request: for `waiting_units`, the cost of the first waiting request,
+    // or, if no request waits, for the demand until the next renewal. Deducts the units that the
+    // lease request returns.
     LeaseRequest make_lease_request(std::uint32_t nonce, std::optional<double> waiting_units);
-    // Adds a grant to the stores and starts its standing lease.
+    // Adds the granted units to the stores and starts the granted standing lease.
     void apply_grant(const LeaseGrant& grant);
     bool has_standing_lease() const { return standing_share_ > 0; }
-    // True where the demand ended while a standing lease runs.
+    // True if the demand has ended while this instance has a standing lease, and a minimum time has
+    // passed since the last lease request.
     bool should_return_lease() const;
     void drop_standing_lease() { standing_share_ = 0; }
 
-    // Null where the customer has no known plan.
+    // Null if the customer's plan is unknown.
     const Plan* plan() const;
     const CustomerSubset& subset() const { return subset_; }
-    // Instances that hold leases of this customer, as the owner reported; 1 at least.
+    // Number of instances that hold leases of this customer, as the owner reported; at least 1.
     int holder_count() const { return holder_count_; }
     Micros last_request_at() const { return demand_.last_request_at(); }
 
@@ -122,18 +130,18 @@
     double ceiling_units_ = 0;
     double reserved_ceiling_units_ = 0;  // included in ceiling_units_
     Micros refilled_at_;
-    Micros even_share_free_at_{0};  // when the even share next covers a request
+    Micros even_share_free_at_{0};  // when the even share covers the next request
 
-    double standing_share_ = 0;  // standing lease: share of the quota that refills the stores
+    double standing_share_ = 0;  // of the quota; refills the stores here
     Micros standing_until_{0};
 
     DemandEstimator demand_;
     Micros lease_requested_at_{0};
-    double requested_demand_rate_ = 0;  // as the last lease request reported it
+    double requested_demand_rate_ = 0;  // in the last lease request
     double fleet_demand_rate_ = 0;      // on all instances, as the owner reported
     Micros owner_reported_at_{0};       // 0: never
     Micros shortage_until_{0};
-    double shortage_units_ = 0;  // requests of so many units or more are short
+    double shortage_units_ = 0;  // lowest request cost that is denied
 };
 
 }  // namespace silverreach
--- a/src/decisions/quota/demand_estimator.h
+++ b/src/decisions/quota/demand_estimator.h
@@ -6,16 +6,17 @@
 
 namespace silverreach {
 
-// Rates are in units a second.
+// Rates are in units per second.
 class DemandEstimator {
   public:
     explicit DemandEstimator(Micros first_request_at) : first_request_at_(first_request_at) {}
 
     void add_request(Micros now, double units);
-    // Rounded up to the step of the wire; 0 once several expected requests are missing. Accounts
-    // for a first request that was only just.
+    // The demand rate, rounded up to lease_unit_step; 0 after a gap in which several units were
+    // expected. Corrects for a short time since the first request.
     double rate(Micros now) const;
-    // The plain mean over the memory, for comparison with the demand on other instances.
+    // The decaying mean without rounding or correction, for comparison with the demand on other
+    // instances.
     double mean_rate(Micros now) const;
     Micros last_request_at() const { return last_request_at_; }
 
--- a/src/decisions/quota/lease_client.cpp
+++ b/src/decisions/quota/lease_client.cpp
@@ -9,14 +9,15 @@
 namespace {
 
 constexpr int max_candidates = 3;  // the owner and its successors
-constexpr int max_attempts = 4;    // lease requests for the first waiting request
+constexpr int max_attempts = 4;    // lease requests until a grant or fallback
 constexpr Micros min_request_timeout{150'000};
-// Mean response times after which a request counts as lost: by chance that happens with e^-3.5, 3%.
+// Time after which a lease request counts as lost, in mean response times. If response times are
+// exponentially distributed, a response takes longer with a probability of e^-3.5, 3%.
 constexpr double request_timeout_responses = 3.5;
-constexpr double mean_response_weight = 0.05;  // of one response
-constexpr int renewal_timeout_factor = 2;      // nobody waits for a renewal
-// Request timeouts after which the ceiling units of a grant are void: this instance stalled, and
-// the owner may count them as unused.
+constexpr double mean_response_weight = 0.05;  // of one response in the mean
+constexpr int renewal_timeout_factor = 2;      // no client request waits for a renewal
+// Age of a grant, in request timeouts, above which its ceiling units are discarded: this instance
+// has stalled, and the owner may count these units as unused.
 constexpr int max_grant_age_timeouts = 2;
 
 }  // namespace
@@ -34,8 +35,9 @@
     if (!customer.pending_lease.in_flight()) request_lease(customer);
 }
 
-// Requests what the first waiting request lacks, or renews. Candidates are tried in order; where
-// the owner reported lately only it is, so that no successor grants beside it.
+// Requests the units that the first waiting request lacks, or a renewal if none waits. The owner
+// and its successors are considered in this order; for a renewal, or if the owner has reported
+// recently, only the owner is, so that no successor grants units in parallel.
 void LeaseClient::request_lease(CustomerQuota& customer) {
     PendingLease& pending = customer.pending_lease;
     while (!pending.waiting.empty() && !listener_.waiting_units(pending.waiting.front()))
@@ -98,8 +100,8 @@
     request_lease(end_request(it));
 }
 
-// A grant, also one of nothing: admits what it covers; what still waits is requested again where
-// the grant moved anything, else denied.
+// Applies a grant, which may be empty, and admits the waiting requests that are covered now. If any
+// was admitted, requests another lease for the others; if none was, denies them.
 void LeaseClient::apply(CustomerQuota& customer, const LeaseGrant& grant) {
     customer.pending_lease.attempts = 0;
     customer.apply_grant(grant);
@@ -150,7 +152,7 @@
         renewals_.erase(it);
         customer.pending_lease.renewal_scheduled = false;
         customer.refill();
-        if (return_lease) customer.drop_standing_lease();  // others may have it at once
+        if (return_lease) customer.drop_standing_lease();  // makes it available to other instances
         if (customer.pending_lease.in_flight())
             schedule_renewal(customer);
         else if (return_lease || customer.has_standing_lease() || customer.is_steady())
@@ -165,7 +167,7 @@
     return customer;
 }
 
-// Until a lease request counts as lost.
+// Time after which a lease request counts as lost.
 Micros LeaseClient::request_timeout() const {
     return std::max(min_request_timeout, micros(request_timeout_responses * mean_response_s_));
 }
--- a/src/decisions/quota/lease_client.h
+++ b/src/decisions/quota/lease_client.h
@@ -1,10 +1,11 @@
-// The holder's side of leases: requests them of the owner of a customer's quota, renews them ahead
-// of need, and falls back where the owner does not respond.
+// The holder's side of leases. Requests leases from the owner of a customer's quota, renews them
+// before they are used up, and falls back to other rules if the owner does not respond.
 //
-// For each customer at most one lease request is in flight. Its states (PendingLease): none; in
-// flight with requests of clients waiting; in flight for a renewal. A lease request ends by a grant
-// or by its timeout. After a timeout the next attempt goes to the owner or one of its successors;
-// after the last one the even share of the quota decides.
+// At most one lease request is in flight for each customer. PendingLease has these states: no lease
+// request; a lease request in flight for waiting client requests; a lease request in flight for a
+// renewal. A lease request ends with a grant or with its timeout. After a timeout the next lease
+// request goes to the owner or to one of its successors. After the last timeout the even share of
+// the quota decides on the waiting requests.
 #pragma once
 
 #include <cstdint>
@@ -20,35 +21,35 @@
 
 namespace silverreach {
 
-// Single-threaded like the engine. Customers are referred to until their lease request ended and
-// no renewal is scheduled.
+// Single-threaded like the engine. Keeps a pointer to a customer while a lease request is in flight
+// or a renewal is scheduled for it.
 class LeaseClient {
   public:
-    // What it works with; all outlive it.
+    // Each outlives the LeaseClient.
     struct Dependencies {
         DecisionContext& context;
         QuotaListener& listener;
         const LeaseTerms& terms;
-        LeaseLedger& ledger;  // grants at once where the owner is this instance
+        LeaseLedger& ledger;  // grants directly if this instance is the owner
         PeerMailbox& mailbox;
     };
-    // `first_nonce`: of the first lease request to a peer, odd.
+    // `first_nonce` is the nonce of the first lease request to a peer; odd.
     LeaseClient(const Dependencies& dependencies, std::uint32_t first_nonce);
 
-    // Queues a client's request until a lease covers it, and requests one. The listener gets the
-    // result.
+    // Queues a client's request until a lease covers it, and requests a lease unless one is already
+    // requested. The listener receives the result.
     void wait_for_lease(CustomerQuota& customer, RequestId id);
-    // A grant arrived from `rank`; dropped where no request to it is in flight.
+    // Handles a grant from the instance `rank`; ignored if no matching request to it is in flight.
     void on_granted(int rank, LeaseGrant grant);
-    // Ignored where the request already ended.
+    // Ignored if the lease request has already ended.
     void on_request_timeout(std::uint32_t nonce);
-    // Renews the leases that are due, and returns those whose demand ended.
+    // Renews the leases that are due, and returns those whose demand has ended.
     void on_heartbeat();
 
   private:
     struct InFlightRequest {
         CustomerQuota* customer;
-        int rank;  // that it was sent to
+        int rank;  // of the instance that it was sent to
         Micros sent_at;
     };
     using InFlightRequests = std::unordered_map<std::uint32_t, InFlightRequest>;
@@ -69,9 +70,9 @@
     LeaseLedger& ledger_;
     PeerMailbox& mailbox_;
     std::uint32_t next_nonce_;
-    double mean_response_s_ = 0;                      // of lease requests
+    double mean_response_s_ = 0;                      // of lease requests, in seconds
     InFlightRequests in_flight_;                      // by nonce
-    std::multimap<Micros, CustomerQuota*> renewals_;  // by when they are due
+    std::multimap<Micros, CustomerQuota*> renewals_;  // by due time
 };
 
 }  // namespace silverreach
--- a/src/decisions/quota/lease_codec.cpp
+++ b/src/decisions/quota/lease_codec.cpp
@@ -13,13 +13,13 @@
 };
 constexpr int type_bytes = 1;
 constexpr int checksum_bytes = 2;
-// Of a message behind its type.
+// Sizes of the messages without their type.
 constexpr std::size_t lease_request_bytes = 25;
 constexpr std::size_t lease_grant_bytes = 16;
 static_assert(1 + max_messages_per_datagram * (type_bytes + lease_request_bytes) + checksum_bytes <=
               max_message_bytes);
 
-// An amount is mantissa << exponent, in steps of lease_unit_step.
+// An amount is encoded as mantissa << exponent, in steps of lease_unit_step.
 constexpr int mantissa_bits = 12;
 constexpr std::uint32_t max_mantissa = (1U << mantissa_bits) - 1;
 constexpr std::uint32_t max_exponent = 15;
@@ -56,7 +56,7 @@
     std::string bytes_;
 };
 
-// The caller checks that as many bytes are left as it reads.
+// The caller checks remaining() before it reads.
 class Reader {
   public:
     explicit Reader(std::string_view bytes) : bytes_(bytes) {}
--- a/src/decisions/quota/lease_ledger.h
+++ b/src/decisions/quota/lease_ledger.h
@@ -1,5 +1,5 @@
-// The ledgers of the customers whose quota this instance owns, or for which it stands in as a
-// successor of the owner.
+// The quota ledgers of the customers whose quota this instance owns, or whose owner it replaces as
+// a successor.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +16,11 @@
     LeaseLedger(const DecisionContext& context, const LeaseTerms& terms)
         : context_(context), terms_(terms) {}
 
-    // Whether a request from a peer names a plan and a subset that can exist here.
+    // Returns whether the plan and the subset size of a peer's request are valid here.
     bool accepts(const LeaseRequest& request) const;
-    // Decides on a request of the instance `rank`; accepts(request) holds.
+    // Decides on a request from the instance `rank`. Requires accepts(request).
     LeaseGrant grant(const LeaseRequest& request, int rank);
-    // Drops ledgers without a request for `idle_timeout`.
+    // Removes the ledgers that had no request for `idle_timeout`.
     void remove_idle(Micros idle_timeout);
 
   private:
--- a/src/decisions/quota/lease_terms.cpp
+++ b/src/decisions/quota/lease_terms.cpp
@@ -12,8 +12,9 @@
 constexpr Micros min_lease_lifetime{2'000'000};
 constexpr int lease_lifetime_periods = 4;  // renewals that may be lost before a lease expires
 
-// The evenly split share of a ceiling: half in small subsets; in larger ones it shrinks, since most
-// instances leave theirs unused.
+// The evenly split share of a ceiling is split_share_instances / subset size, at most
+// max_split_share. It shrinks in large subsets, because most of their instances do not use their
+// part.
 constexpr double max_split_share = 0.5;
 constexpr double split_share_instances = 2;
 
--- a/src/decisions/quota/owner_placement.h
+++ b/src/decisions/quota/owner_placement.h
@@ -1,20 +1,23 @@
-// Which instance owns a customer's quota. A customer arrives through a subset of the instances; a
-// hash of its name picks the owner among them and the order of the owner's successors.
+// Determines which instance owns a customer's quota. A customer's requests arrive through a subset
+// of the instances; a hash of the customer's name selects the owner in this subset and the order of
+// the owner's successors.
 #pragma once
 
 #include <cstdint>
 
 namespace silverreach {
 
-// The instances through which a customer arrives: `size` ranks from `start` on, counted round.
+// The instances through which a customer's requests arrive: `size` ranks from `start` on, modulo
+// the number of instances.
 struct CustomerSubset {
     std::uint32_t customer_hash = 0;
     int size = 1;
     int start = 0;
 };
 
-// Rank of the owner (`successor` 0) or of its n-th successor. Equal at every instance, so that no
-// agreement is needed. `instance_count`: of the fleet, 1 at least.
+// Returns the rank of the owner (`successor` 0) or of its n-th successor. The result is the same at
+// every instance, so that no agreement protocol is needed. `instance_count` is the number of
+// instances in the fleet, at least 1.
 int quota_owner(const CustomerSubset& subset, int successor, int instance_count);
 
 }  // namespace silverreach
--- a/src/decisions/quota/peer_mailbox.cpp
+++ b/src/decisions/quota/peer_mailbox.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::size_t max_outbox_messages = 200;
-constexpr double min_send_rate = 0.2;  // messages a second to one peer
-constexpr int unresponsive_after = 2;  // requests lost in a row
+constexpr double min_send_rate = 0.2;  // datagrams per second to one peer
+constexpr int unresponsive_after = 2;  // consecutive lost requests
 constexpr Micros unresponsive_period{1'000'000};
 constexpr Micros activity_window{1'000'000};
 
@@ -65,8 +65,9 @@
                          static_cast<std::uint64_t>(rank));
 }
 
-// Messages a second to this peer: its usable intake divided by the instances that send to it, by
-// its holders or by the peers seen active, whichever is more.
+// Datagrams per second to this peer: the usable rate that it accepts, divided by the number of its
+// senders. That number is the number of its holders or of the recently active peers, whichever is
+// larger.
 double PeerMailbox::send_rate(const Peer& peer) const {
     const double senders =
         std::clamp(std::max({active_peers_, previous_active_peers_, peer.holder_count}), 1,
--- a/src/decisions/quota/peer_mailbox.h
+++ b/src/decisions/quota/peer_mailbox.h
@@ -1,9 +1,10 @@
-// Sends lease messages to the other instances within their intake, and knows which of them are
-// unresponsive.
+// Sends lease messages to the other instances within the message rate that they accept, and tracks
+// which of them are unresponsive.
 //
-// Messages of one event to one peer travel together. Requests go out at once while they are few;
-// what comes faster than the peer's intake allows is delayed and bundled, requests with
-// waiting clients first. Grants always go at once: they are as many as requests received.
+// Messages of one event to one peer share datagrams. Lease requests are sent without delay up to
+// the rate that the peer accepts; beyond it they are delayed and batched, those with waiting client
+// requests first. Grants are sent without delay, because their number does not exceed that of the
+// lease requests received.
 #pragma once
 
 #include <string>
@@ -15,7 +16,7 @@
 
 namespace silverreach {
 
-// Of a peer's intake (Settings::peer_messages_per_second) that its senders use together.
+// Share of Settings::peer_messages_per_second that all senders to one peer use together.
 inline constexpr double usable_intake_share = 0.8;
 
 // Single-threaded like the engine.
@@ -24,32 +25,33 @@
     // `context` outlives this.
     explicit PeerMailbox(DecisionContext& context) : context_(context) {}
 
-    // Queues a message for flush(). A full outbox drops it: leases recover from lost messages.
-    // `holder_count`: instances that send to this owner. Returns how long the request is expected
-    // to be delayed.
+    // Queues a message for flush(). If the outbox is full, the message is dropped, because leases
+    // recover from lost messages. `holder_count` is the number of instances that send to this
+    // owner. Returns the expected delay of the request.
     Micros post_request(int rank, const LeaseRequest& request, int holder_count);
     void post_grant(int rank, const LeaseGrant& grant);
-    // Sends what this event posted, as far as the peers' intake allows.
+    // Sends the messages of this event within the rates that the peers accept.
     void flush();
-    // The timer for delayed messages fired.
+    // Call when the timer for delayed messages fires.
     void on_outbox_timer(int rank);
 
     void on_message_received(int rank);
     void on_request_lost(int rank);
-    // True for a while after several requests in a row were lost.
+    // True for a limited time after several consecutive requests were lost.
     bool is_unresponsive(int rank) const;
 
-    // Drops peers to which nothing was sent for `idle_timeout`.
+    // Removes the peers to which nothing was sent for `idle_timeout`.
     void remove_idle(Micros idle_timeout);
 
   private:
-    static constexpr double burst_messages = 3;  // that may go to a peer at once
+    // Datagrams that may be sent to a peer in a burst.
+    static constexpr double burst_messages = 3;
 
     struct Peer {
-        int requests_lost = 0;  // in a row
+        int requests_lost = 0;  // consecutive
         Micros unresponsive_until{0};
         Micros last_received{0};
-        int holder_count = 1;  // instances that share this peer's intake
+        int holder_count = 1;  // instances that share the message rate of this peer
         double send_tokens = burst_messages;
         Micros tokens_refilled_at{0};
         std::vector<PeerMessage> outbox;
@@ -63,8 +65,8 @@
 
     DecisionContext& context_;
     std::unordered_map<int, Peer> peers_;  // by rank
-    std::vector<int> posted_to_;           // ranks with messages of this event
-    // Peers that sent something in the current counting window, and in the one before.
+    std::vector<int> posted_to_;           // ranks of the peers that have messages of this event
+    // Numbers of peers that sent something in the current counting window and in the previous one.
     int active_peers_ = 0;
     int previous_active_peers_ = 0;
     Micros window_began_{0};
--- a/src/decisions/quota/quota_ledger.cpp
+++ b/src/decisions/quota/quota_ledger.cpp
@@ -10,35 +10,37 @@
 namespace silverreach {
 namespace {
 
-// Of the burst, in a new ledger, and at most in a successor's. A whole burst would be granted again
-// after each restart.
+// Share of the burst in a new ledger, and the largest share in a successor's ledger. With the
+// complete burst, each restart would grant the burst again.
 constexpr double initial_burst_share = 0.5;
 constexpr double max_leased_share = 0.9;  // sum of all standing leases of a customer
-// A standing lease brings about so many times its holder's demand at most.
+// Approximate upper limit of a standing lease's rate, as a multiple of its holder's demand.
 constexpr double max_standing_per_demand = 2;
-constexpr double max_surplus_share = 0.5;  // of the pool, beyond what is required, for one holder
+constexpr double max_surplus_share = 0.5;  // of the pool beyond the required units, per grant
 constexpr double surplus_per_demand_share = 2;
 constexpr Micros holder_idle_timeout{5'000'000};
 constexpr double max_wait_s = 60;
-constexpr double min_rate = 1e-9;  // divisor
+constexpr double min_rate = 1e-9;  // units per second; avoids a division by 0
 
 }  // namespace
 
-// What is fixed while one request is decided on.
+// The values that stay fixed while the ledger decides on one request.
 struct QuotaLedger::GrantInput {
     const LeaseRequest& request;
     const Plan& plan;
     int rank;          // of the requesting instance
-    int holder_count;  // with it
-    // Only the owner grants of the ceiling, and standing leases; a successor bridges its absence.
+    int holder_count;  // including the requesting instance
+    // Only the owner grants ceiling units and standing leases; a successor replaces an unresponsive
+    // owner for the rate quota.
     bool is_owner;
-    bool is_stale;        // an older or repeated request
-    double common_share;  // of the ceiling
-    // From then on leases granted by an earlier incarnation of this instance have expired, unless
-    // all of the subset already reported theirs.
+    bool is_stale;        // an outdated or repeated request
+    double common_share;  // common share of the ceiling
+    // Time from which all active leases are known: those that an earlier incarnation of this
+    // instance granted have expired by then. If the complete subset has reported its leases, it is
+    // the start of this instance.
     Micros leases_known_at;
 
-    // Of the plan's main limit: the rate quota, or the ceiling where it has no other.
+    // Rate and burst of the plan's main limit: the rate quota, or the ceiling if there is none.
     double main_rate() const { return plan.rate > 0 ? plan.rate : plan.ceiling_rate; }
     double main_burst() const { return plan.rate > 0 ? plan.burst : plan.ceiling_burst; }
 };
@@ -98,8 +100,8 @@
         .leases_known_at = leases_known_at};
 }
 
-// The pool refills by what the standing leases leave of the rates, up to what they leave of the
-// burst.
+// The pool refills at the part of the rates, and up to the part of the burst, that the standing
+// leases do not use.
 void QuotaLedger::refill(const GrantInput& input) {
     const Plan& plan = input.plan;
     const Micros now = context_.now;
@@ -117,8 +119,9 @@
                           input.common_share * plan.ceiling_rate;
 }
 
-// Updates the holder's entry; the standing lease is not granted yet. Where the request shows that
-// the last grant arrived, the larger share that was assumed to run meanwhile is added back.
+// Updates the holder's entry except for the standing lease, which is granted later. If the request
+// shows that the last grant arrived, the units of the larger share that was assumed to be active
+// meanwhile are added back.
 void QuotaLedger::record_request(const GrantInput& input, LeaseHolder& holder) {
     const LeaseRequest& request = input.request;
     const Plan& plan = input.plan;
@@ -162,8 +165,9 @@
     return sum;
 }
 
-// Standing leases follow the demand. None for the owner itself, for demand that is not steady, nor
-// where its store could not keep an average request: it would lie idle.
+// The standing share follows the demand. It is 0 for the owner itself and for demand that is not
+// steady. It is also 0 if the part of the burst that is set aside for it does not cover a request
+// of average cost, because the lease would remain unused.
 double QuotaLedger::standing_share_for(const GrantInput& input, double fleet_demand_rate) const {
     const LeaseRequest& request = input.request;
     if (!input.is_owner || input.rank == context_.settings.rank ||
@@ -177,14 +181,15 @@
     const double standing_burst =
         terms_.standing_burst(rate, input.main_burst(), request.subset_size);
     if (fair_share * standing_burst < context_.traffic.mean_units) return 0;
-    // A restarted owner of a ceiling renews what runs, no more: other leases are not known yet.
+    // After a restart the owner of a ceiling only renews active leases, because it does not know
+    // the other leases yet.
     const bool renew_only = input.plan.ceiling_rate > 0 && context_.now <= input.leases_known_at;
     const double share = renew_only ? std::min(fair_share, request.standing_share) : fair_share;
     return round_down_to_step(share, standing_share_step);
 }
 
-// A repeated request returns its units only once. The ceiling's pool is cut to what the standing
-// leases leave of it.
+// Adds the units that the request returns, only once for a repeated request, and cuts the ceiling's
+// pool to the part of the burst that the standing leases do not use.
 void QuotaLedger::add_returned_units(const GrantInput& input) {
     const Plan& plan = input.plan;
     const LeaseRequest& request = input.request;
@@ -199,7 +204,7 @@
         std::min(ceiling_units_, input.common_share * (plan.ceiling_burst - leased_ceiling_units));
 }
 
-// Seconds until the pool covers what is required; 0: it does.
+// Time in seconds until the pool covers the required and the ceiling units; 0: it covers them.
 double QuotaLedger::wait_s(const GrantInput& input) const {
     const LeaseRequest& request = input.request;
     const Plan& plan = input.plan;
--- a/src/decisions/quota/quota_ledger.h
+++ b/src/decisions/quota/quota_ledger.h
@@ -1,9 +1,10 @@
-// The owner's account of one customer's quota: the units that no instance holds, and the leases
-// that were granted.
+// The owner's account of one customer's quota: the pool of units that no instance holds, and the
+// leases that were granted.
 //
-// A grant is deducted before it is sent: one lost on the way is lost, and no unit counts twice. A
-// standing lease refills the stores at its holder by the clock; the pool here refills by the rest
-// of the rate, until the lease expired. It expires at the holder first.
+// A grant is deducted before it is sent. The units of a grant that is lost in transit are lost, so
+// that no unit is granted twice. A standing lease refills the stores at its holder over time; until
+// it expires, the pool refills only at the rest of the rate. The lease expires at the holder before
+// it expires here.
 #pragma once
 
 #include <cstdint>
@@ -15,31 +16,33 @@
 
 namespace silverreach {
 
-// An instance that requested leases of the customer, as its last request reported it.
+// An instance that has requested leases of the customer, with the state in its last request.
 struct LeaseHolder {
-    double demand_rate = 0;      // units a second
+    double demand_rate = 0;      // units per second
     double granted_share = 0;    // standing lease granted by the last reply
-    double requested_share = 0;  // standing lease that ran there when it requested
+    double requested_share = 0;  // standing lease that was active there at its last request
     Micros last_request_at{0};
     Micros lease_expires_at{0};
     std::uint32_t last_nonce = 0;  // 0: none
 
-    // The share that may run there: the last grant may have been lost.
+    // The largest standing share that may be active at the holder: the last grant may have been
+    // lost.
     double running_share(Micros now) const;
     bool is_idle(Micros now) const;
 };
 
-// Single-threaded. Rates are in units a second.
+// Single-threaded. Rates are in units per second.
 class QuotaLedger {
   public:
-    // `context` and `terms` outlive this. Starts with half of the burst and nothing of the ceiling:
-    // what an earlier incarnation granted is not known.
+    // `context` and `terms` outlive this. The ledger starts with half of the burst and none of the
+    // ceiling, because the grants of an earlier incarnation of this instance are unknown.
     QuotaLedger(const DecisionContext& context, const LeaseTerms& terms, const Plan& plan);
 
-    // Decides on a request of the instance `rank`. Grants what is required or nothing; on top, by
-    // the holder's share of the demand, at most half of the rest; and a standing lease.
+    // Decides on a request from the instance `rank`. Grants the required units completely or no
+    // units at all. Beyond the required units it grants at most half of the remaining pool, by the
+    // holder's share of the demand. It also grants a standing lease if the demand is steady.
     LeaseGrant grant(const LeaseRequest& request, int rank);
-    // When grant() was called last; it alone refills.
+    // Time of the last grant(), which is the only call that refills the pool.
     Micros last_request_at() const { return refilled_at_; }
 
   private:
@@ -58,9 +61,9 @@
 
     const DecisionContext& context_;
     const LeaseTerms& terms_;
-    double units_;              // of the rate quota, that no instance holds
-    double ceiling_units_ = 0;  // of the ceiling's common share, that no instance holds
-    double leased_share_ = 0;   // sum of the standing leases that may run
+    double units_;              // of the rate quota that no instance holds
+    double ceiling_units_ = 0;  // of the ceiling's common share that no instance holds
+    double leased_share_ = 0;   // sum of the standing leases that may be active
     Micros refilled_at_;
     std::map<int, LeaseHolder> holders_;  // by rank
 };
--- a/src/decisions/quota/quota_listener.h
+++ b/src/decisions/quota/quota_listener.h
@@ -1,4 +1,4 @@
-// Notifies the engine of what became of the requests that waited for a lease.
+// The callbacks through which the engine receives the results of requests that wait for a lease.
 #pragma once
 
 #include <optional>
@@ -7,16 +7,16 @@
 
 namespace silverreach {
 
-// Implemented by the engine's coordinator. Calls come while an event is handled and may call back
-// into the QuotaManager at once.
+// Implemented by the decision engine. The functions are called while an event is handled, and may
+// call the QuotaManager before they return.
 class QuotaListener {
   public:
     virtual ~QuotaListener() = default;
-    // Units that the waiting request costs; nothing once it has its final response.
+    // Returns the cost of the waiting request in units, or nullopt if it has its final response.
     virtual std::optional<double> waiting_units(RequestId id) const = 0;
     // The quota covers the request now.
     virtual void on_quota_granted(RequestId id) = 0;
-    // The quota does not cover it; `retry_after` is when it is expected to.
+    // The quota does not cover the request; it is expected to do so after `retry_after`.
     virtual void on_quota_denied(RequestId id, Micros retry_after) = 0;
 };
 
--- a/src/decisions/quota/quota_manager.cpp
+++ b/src/decisions/quota/quota_manager.cpp
@@ -8,7 +8,7 @@
 namespace silverreach {
 namespace {
 
-constexpr Micros idle_timeout{60'000'000};  // of customers, ledgers and peers
+constexpr Micros idle_timeout{60'000'000};  // for customers, ledgers and peers
 
 }  // namespace
 
--- a/src/decisions/quota/quota_manager.h
+++ b/src/decisions/quota/quota_manager.h
@@ -1,8 +1,10 @@
-// The quota side of the decision engine: what a customer may still use at this instance, the
-// leases that instances request of and grant to each other, and the messages between them.
+// The quota component of the decision engine. Tracks the units that a customer may still use at
+// this instance, the leases that instances request from and grant to each other, and the messages
+// between them.
 //
-// The engine calls it with events; it answers at once where the stores cover a request, and later
-// through the QuotaListener where the request has to wait for a lease.
+// The engine passes events to it. If the stores cover a request, the engine learns it from
+// missing_units() and missing_ceiling_units(); if the request has to wait for a lease, the
+// QuotaListener receives the result.
 #pragma once
 
 #include <cstdint>
@@ -20,51 +22,54 @@
 
 namespace silverreach {
 
-// Owned by the engine; single-threaded like it. References to a CustomerQuota stay good while the
-// customer has open requests.
+// Owned by the engine; single-threaded like it. A reference to a CustomerQuota stays valid while
+// the customer has open requests.
 class QuotaManager {
   public:
-    // `context` and `listener` outlive this. `first_nonce`: nonce of the first lease request, odd.
+    // `context` and `listener` outlive this. `first_nonce` is the nonce of the first lease request;
+    // odd.
     QuotaManager(DecisionContext& context, QuotaListener& listener, std::uint32_t first_nonce);
-    QuotaManager(const QuotaManager&) = delete;  // its parts refer to each other
+    QuotaManager(const QuotaManager&) = delete;  // its members refer to each other
     QuotaManager& operator=(const QuotaManager&) = delete;
 
-    // Notes a new request and its demand; ++open_requests. The caller counts it down again once
-    // the request has its final response.
+    // Records a new request and its demand, and increments open_requests. The caller decrements it
+    // when the request has its final response.
     CustomerQuota& on_request(const RequestArrived& request);
-    // Null where the customer has no known plan, hence no quota.
+    // Null if the customer's plan is unknown and therefore no quota applies.
     const Plan* plan_of(const CustomerQuota& customer) const;
-    // Units that the rate quota, or the ceiling, lacks here for a request of `units`; 0: covered.
+    // Units that the rate quota, or the ceiling, lacks here for a request that costs `units`;
+    // 0: covered.
     double missing_units(const CustomerQuota& customer, double units) const;
     double missing_ceiling_units(const CustomerQuota& customer, double units) const;
     // This instance's share of the customer's recent demand, 0 to 1.
     double demand_share(const CustomerQuota& customer) const;
-    // Retry-After where it is known that no lease will come for `units`; else nothing.
+    // Returns the Retry-After if it is known that no lease will cover `units`, otherwise nullopt.
     std::optional<Micros> known_shortage(const CustomerQuota& customer, double units) const;
-    // Queues the request for a lease. The listener gets the result, at once where the owner is
-    // this instance.
+    // Queues the request until a lease covers it. The listener receives the result; if this
+    // instance is the owner, before this call returns.
     void wait_for_lease(CustomerQuota& customer, RequestId id);
 
-    // Takes `units` from the stores for an admitted request; from the rate quota only where
+    // Reserves `units` in the stores for an admitted request; of the rate quota only if
     // `within_quota`.
     Reservation reserve(CustomerQuota& customer, double units, bool within_quota);
-    // Call at each attempt that is sent: the first one uses the reservation up.
+    // Call for each attempt that is sent. The first one uses up the reservation.
     void on_attempt_sent(CustomerQuota& customer, Reservation& reservation, double units,
                          bool first_attempt);
-    // Gives back what a request that was never sent had reserved.
+    // Gives back the reserved units of a request that was never sent.
     void release(CustomerQuota& customer, const Reservation& reservation);
-    // A response reported the units that its request really cost. Call it for requests within the
-    // quota. Changes nothing where `actual_units` is 0 (not reported) or settings leave it out.
+    // Replaces the charged units of a request by the actual ones that its response reported. Call
+    // this only for requests within the quota. Does nothing if `actual_units` is 0 (not reported)
+    // or Settings::units_corrected_by_response is false.
     void correct_units(CustomerQuota& customer, double charged_units, double actual_units);
 
     void on_peer_message(int from, const std::string& bytes);
     void on_lease_request_timeout(std::uint32_t nonce);
     void on_outbox_timer(int rank);
-    // Renews the leases that are due.
+    // Renews the leases that are due, and returns those whose demand has ended.
     void on_heartbeat();
-    // Drops the state of peers and customers that were idle for long.
+    // Removes the state of peers and customers that have been idle for a long time.
     void remove_idle();
-    // Sends what this event posted to peers. Call at the end of each event.
+    // Sends this event's messages to peers. Call at the end of each event.
     void flush_outboxes();
 
   private:
--- a/src/decisions/quota/warming_up_limiter.cpp
+++ b/src/decisions/quota/warming_up_limiter.cpp
@@ -7,7 +7,7 @@
 namespace silverreach {
 namespace {
 
-// Interval of a cold limiter as a multiple of the stable interval: Guava's coldFactor.
+// Interval of a cold limiter as a multiple of the stable interval, as Guava's coldFactor.
 constexpr double cold_factor = 3;
 
 // Stored units above which the interval grows.
@@ -39,7 +39,7 @@
     const double stored_used = std::min(units, stored_units_);
     const double above_threshold = std::max(0.0, stored_units_ - threshold);
     const double warmup_units = std::min(above_threshold, stored_used);
-    // The area under the rising interval over the units taken above the threshold.
+    // Integral of the interval over the units taken above the threshold, where it is linear.
     const double warmup_cost_s =
         warmup_units * (2 * stable_s + slope * (2 * above_threshold - warmup_units)) / 2;
     next_free_ += micros(warmup_cost_s + stable_s * (stored_used - warmup_units) +
--- a/src/decisions/quota/warming_up_limiter.h
+++ b/src/decisions/quota/warming_up_limiter.h
@@ -1,8 +1,9 @@
-// Rate limiter of one customer at this instance that starts slow: Guava's SmoothWarmingUp.
+// Rate limiter of one customer at this instance that starts at a reduced rate, as Guava's
+// SmoothWarmingUp.
 //
-// States: not started (no refill yet); warming up (stored units above the threshold, each costs
-// more than the stable interval); warm. The caller that takes units never pays for them itself:
-// its cost delays the next one.
+// It has three states: not started (before the first refill); warming up (the stored units are
+// above the threshold, and each unit above it takes longer than the stable interval); warm. The
+// cost of a reservation delays the next caller, not the one that makes the reservation.
 #pragma once
 
 #include "silverreach/interface.h"
@@ -12,14 +13,13 @@
 // Not thread-safe. All calls use the clock of the engine's events.
 class WarmingUpLimiter {
   public:
-    // Stores the units of the idle time since next_free(); the first call fills the store, which
-    // makes the limiter cold.
-    // `stable_s`: seconds for each unit once warm, above 0. `warmup_s`: seconds of warming up,
-    // above 0.
+    // Adds the units for the idle time since next_free() to the store. The first call fills the
+    // store, which makes the limiter cold. `stable_s` is the interval between units of a warm
+    // limiter, and `warmup_s` the warm-up time, both in seconds and above 0.
     void refill(Micros now, double stable_s, double warmup_s);
-    // Takes `units` and moves next_free() by their cost. Call refill() in the same event before.
+    // Takes `units` and delays next_free() by their cost. Call refill() earlier in the same event.
     void reserve(double units, double stable_s, double warmup_s);
-    // Clock time from which on the next units may be taken.
+    // Earliest clock time at which the next units may be taken.
     Micros next_free() const { return next_free_; }
 
   private:
