--- a/src/decisions/quota/customer_quota.cpp
+++ b/src/decisions/quota/customer_quota.cpp
@@ -13,7 +13,7 @@
 constexpr double excess_demand_factor = 1.1;
 constexpr double min_lease_coverage_s = 0.5;  // shortest demand that a lease request covers
 // Minimum time between a lease request and the return of the lease.
-constexpr Micros min_lease_hold{150'000};
+constexpr Micros min_lease_hold_time{150'000};
 
 }  // namespace
 
@@ -45,7 +45,7 @@
     refill();
     plan_ = plan;
     units_ = std::min(units_, context_.settings.plans[plan].burst);
-    standing_until_ = context_.now;
+    standing_lease_expires_at_ = context_.now;
     shortage_until_ = Micros{0};
     ceiling_units_ = std::min(ceiling_units_, max_ceiling_units());
 }
@@ -56,7 +56,7 @@
 double CustomerQuota::missing_units(double units) const {
     const Plan* const plan = this->plan();
     if (plan == nullptr || plan->rate <= 0) return 0;
-    const double lease_overdraft = running_share() *
+    const double lease_overdraft = active_standing_share() *
                                    terms_.standing_burst(plan->rate, plan->burst, subset_.size) *
                                    standing_overdraft_share;
     const bool demand_within_quota = has_recent_owner_report() && fleet_demand_rate_ <= plan->rate;
@@ -85,9 +85,9 @@
     return reservation;
 }
 
-void CustomerQuota::on_attempt_sent(Reservation& reservation, double units, bool first_attempt) {
+void CustomerQuota::on_attempt_sent(Reservation& reservation, double units, bool is_first_attempt) {
     const Plan* const plan = this->plan();
-    if (first_attempt && plan != nullptr && plan->ceiling_rate > 0) {
+    if (is_first_attempt && plan != nullptr && plan->ceiling_rate > 0) {
         refill();
         ceiling_units_ -= units;
     }
@@ -107,7 +107,7 @@
 std::optional<Micros> CustomerQuota::known_shortage(double units) const {
     const Plan* const plan = this->plan();
     if (plan == nullptr) return std::nullopt;
-    if (context_.now < shortage_until_ && units >= shortage_units_)
+    if (context_.now < shortage_until_ && units >= min_short_units_)
         return shortage_until_ - context_.now;
     const double rate = plan->rate > 0 ? plan->rate : plan->ceiling_rate;
     if (!has_recent_owner_report() || fleet_demand_rate_ <= excess_demand_factor * rate)
@@ -116,12 +116,12 @@
     return micros(missing / rate / demand_share());
 }
 
-void CustomerQuota::note_shortage(double units, Micros retry_after) {
+void CustomerQuota::record_shortage(double units, Micros retry_after) {
     shortage_until_ = context_.now + retry_after;
-    shortage_units_ = units;
+    min_short_units_ = units;
 }
 
-std::optional<Micros> CustomerQuota::draw_even_share(double units, Micros lease_timeout) {
+std::optional<Micros> CustomerQuota::admit_by_even_share(double units, Micros lease_timeout) {
     const Plan& plan = *this->plan();
     if (has_recent_owner_report() && fleet_demand_rate_ > plan.rate) return lease_timeout;
     if (const double missing = missing_ceiling_units(units); missing > 0)
@@ -129,9 +129,9 @@
     const double missing = missing_units(units);
     if (missing <= 0) return std::nullopt;
     const Micros now = context_.now;
-    if (even_share_free_at_ > now) return even_share_free_at_ - now;
-    even_share_free_at_ = std::max(even_share_free_at_, now) +
-                          micros(units * subset_.size / std::max(plan.rate, 1e-9));
+    if (even_share_available_at_ > now) return even_share_available_at_ - now;
+    even_share_available_at_ = std::max(even_share_available_at_, now) +
+                               micros(units * subset_.size / std::max(plan.rate, 1e-9));
     units_ += missing;
     return std::nullopt;
 }
@@ -158,12 +158,12 @@
 }
 
 // The share of the standing lease; 0 after it has expired.
-double CustomerQuota::running_share() const {
-    return context_.now < standing_until_ ? standing_share_ : 0;
+double CustomerQuota::active_standing_share() const {
+    return context_.now < standing_lease_expires_at_ ? standing_share_ : 0;
 }
 
 // Units of the rate quota that the standing lease may store here.
-double CustomerQuota::standing_store() const {
+double CustomerQuota::standing_store_capacity() const {
     const Plan& plan = *this->plan();
     return standing_share_ * standing_store_share *
            terms_.standing_burst(plan.rate, plan.burst, subset_.size);
@@ -175,59 +175,66 @@
     const Plan& plan = *this->plan();
     const double burst = terms_.standing_burst(plan.ceiling_rate, plan.ceiling_burst, subset_.size);
     return even_ceiling_share(plan.ceiling_burst, subset_.size) +
-           common_ceiling_share(subset_.size) * running_share() * burst;
+           common_ceiling_share(subset_.size) * active_standing_share() * burst;
 }
 
 void CustomerQuota::refill() {
     const Micros now = context_.now;
-    const Micros last = std::exchange(refilled_at_, now);
+    const Micros last_refilled_at = std::exchange(refilled_at_, now);
     const Plan* const plan = this->plan();
     if (plan == nullptr) return;
-    const Micros lease_time = std::max(Micros{0}, std::min(now, standing_until_) - last);
-    const double lease_s = standing_share_ * seconds(lease_time);  // at the plan's full rate
-    const double income = lease_s * plan->rate;
-    const double stored = std::clamp(standing_store() - units_, 0.0, income);
-    units_ += stored;
-    overflow_units_ += income - stored;
+    const Micros lease_time =
+        std::max(Micros{0}, std::min(now, standing_lease_expires_at_) - last_refilled_at);
+    const double full_rate_s = standing_share_ * seconds(lease_time);  // at the plan's full rate
+    const double lease_units = full_rate_s * plan->rate;
+    const double stored_units = std::clamp(standing_store_capacity() - units_, 0.0, lease_units);
+    units_ += stored_units;
+    overflow_units_ += lease_units - stored_units;
 
-    const double ceiling_income = lease_s * common_ceiling_share(subset_.size) * plan->ceiling_rate;
+    const double ceiling_lease_units =
+        full_rate_s * common_ceiling_share(subset_.size) * plan->ceiling_rate;
     ceiling_units_ +=
-        seconds(now - last) * even_ceiling_share(plan->ceiling_rate, subset_.size) + ceiling_income;
+        seconds(now - last_refilled_at) * even_ceiling_share(plan->ceiling_rate, subset_.size) +
+        ceiling_lease_units;
     const double excess =
         std::max(0.0, ceiling_units_ - max_ceiling_units() - reserved_ceiling_units_);
     ceiling_units_ -= excess;
-    if (plan->rate <= 0) overflow_units_ += std::min(excess, ceiling_income);
+    if (plan->rate <= 0) overflow_units_ += std::min(excess, ceiling_lease_units);
 }
 
 LeaseRequest CustomerQuota::make_lease_request(std::uint32_t nonce,
                                                std::optional<double> waiting_units) {
     const Plan& plan = *this->plan();
-    const double required = waiting_units.value_or(0);
-    const double demand = demand_rate();
-    const double renewal_s = terms_.is_steady(demand, holder_count_)
-                                 ? renewal_margin * seconds(terms_.renewal_period(holder_count_))
-                                 : 0;
-    const double ahead_units = demand * std::max(min_lease_coverage_s, renewal_s);
+    const double first_request_units = waiting_units.value_or(0);
+    const double current_demand_rate = demand_rate();
+    const double renewal_coverage_s =
+        terms_.is_steady(current_demand_rate, holder_count_)
+            ? renewal_margin * seconds(terms_.renewal_period(holder_count_))
+            : 0;
+    const double expected_demand_units =
+        current_demand_rate * std::max(min_lease_coverage_s, renewal_coverage_s);
     LeaseRequest request{nonce, subset_.customer_hash, plan_, subset_.size, subset_.start};
-    request.required_units = missing_units(required);
-    request.ceiling_units = missing_ceiling_units(required);
-    request.demand_rate = demand;
-    request.standing_share = running_share();
+    request.required_units = missing_units(first_request_units);
+    request.ceiling_units = missing_ceiling_units(first_request_units);
+    request.demand_rate = current_demand_rate;
+    request.standing_share = active_standing_share();
     if (plan.rate > 0) {
-        const double available = waiting_units ? std::max(required, units_) : units_;
-        request.extra_units = std::max(0.0, ahead_units - available);
+        const double available = waiting_units ? std::max(first_request_units, units_) : units_;
+        request.extra_units = std::max(0.0, expected_demand_units - available);
     }
     if (plan.rate > 0 && !waiting_units) {
-        const double kept = demand > 0 ? std::max(ahead_units, standing_store()) : 0;
-        request.returned_units = round_down_to_step(std::max(0.0, units_ - kept));
+        const double retained_units =
+            current_demand_rate > 0 ? std::max(expected_demand_units, standing_store_capacity())
+                                    : 0;
+        request.returned_units = round_down_to_step(std::max(0.0, units_ - retained_units));
     }
     if (plan.ceiling_rate > 0 && !waiting_units)
         request.ceiling_units =
-            std::max(0.0, std::min(ahead_units, max_ceiling_units()) - ceiling_units_);
+            std::max(0.0, std::min(expected_demand_units, max_ceiling_units()) - ceiling_units_);
     units_ -= request.returned_units;
     request.returned_units += std::exchange(overflow_units_, 0);
     lease_requested_at_ = context_.now;
-    requested_demand_rate_ = demand;
+    requested_demand_rate_ = current_demand_rate;
     return request;
 }
 
@@ -237,15 +244,16 @@
     holder_count_ = std::clamp(grant.holder_count, 1, context_.settings.instance_count);
     if (grant.holder_count > 0) {  // sent by the owner; successors grant no standing lease
         // A reduced share applies from the time of the request, as in the owner's ledger.
-        const double lost_share_s = std::max(0.0, running_share() - grant.standing_share) *
-                                    seconds(context_.now - lease_requested_at_);
-        units_ -= lost_share_s * plan.rate;
-        ceiling_units_ -= lost_share_s * plan.ceiling_rate * common_ceiling_share(subset_.size);
+        const double lost_full_rate_s =
+            std::max(0.0, active_standing_share() - grant.standing_share) *
+            seconds(context_.now - lease_requested_at_);
+        units_ -= lost_full_rate_s * plan.rate;
+        ceiling_units_ -= lost_full_rate_s * plan.ceiling_rate * common_ceiling_share(subset_.size);
         holder_count_ = grant.holder_count;
         fleet_demand_rate_ = grant.demand_rate;
         owner_reported_at_ = context_.now;
         standing_share_ = grant.standing_share;
-        standing_until_ =
+        standing_lease_expires_at_ =
             lease_requested_at_ + LeaseTerms::lease_lifetime(terms_.renewal_period(holder_count_));
     }
     units_ = std::min(units_ + grant.units, std::max(plan.burst, units_));
@@ -254,7 +262,7 @@
 }
 
 bool CustomerQuota::should_return_lease() const {
-    return has_standing_lease() && context_.now - lease_requested_at_ >= min_lease_hold &&
+    return has_standing_lease() && context_.now - lease_requested_at_ >= min_lease_hold_time &&
            demand_rate() <= 0;
 }
 
--- a/src/decisions/quota/customer_quota.h
+++ b/src/decisions/quota/customer_quota.h
@@ -28,12 +28,12 @@
 // The client requests that wait for a lease, and the lease request that is in flight for them.
 // Managed by the LeaseClient.
 struct PendingLease {
-    std::deque<RequestId> waiting;  // oldest first
-    std::uint32_t nonce = 0;        // of the lease request in flight; 0: none in flight
-    int attempts = 0;               // lease requests sent since the last grant or fallback
-    bool renewal_scheduled = false;
+    std::deque<RequestId> waiting_requests;  // oldest first
+    std::uint32_t nonce = 0;                 // of the lease request in flight; 0: none in flight
+    int sent_requests = 0;                   // lease requests sent since the last grant or fallback
+    bool is_renewal_scheduled = false;
 
-    bool in_flight() const { return nonce != 0; }
+    bool is_in_flight() const { return nonce != 0; }
 };
 
 // Owned by the QuotaManager; single-threaded. Rates are in units per second.
@@ -56,7 +56,7 @@
     Reservation reserve(double units, bool within_quota);
     // Call for each attempt that is sent. The first one deducts `units` from the ceiling store and
     // ends the reservation there.
-    void on_attempt_sent(Reservation& reservation, double units, bool first_attempt);
+    void on_attempt_sent(Reservation& reservation, double units, bool is_first_attempt);
     // Gives back the reserved units of a request that was never sent.
     void release(const Reservation& reservation);
     // Replaces the charged units of a request by the actual ones that its response reported. Does
@@ -68,12 +68,12 @@
     std::optional<Micros> known_shortage(double units) const;
     // Records that the owner grants nothing to requests of `units` or more for `retry_after` from
     // now.
-    void note_shortage(double units, Micros retry_after);
+    void record_shortage(double units, Micros retry_after);
     // Admits one request at a time by this instance's even share of the quota, for use while no
     // owner responds. The quota is exceeded by at most one request for each instance of the subset.
     // Returns nullopt if the stores now cover `units`, otherwise the Retry-After, which is
     // `lease_timeout` if it depends on the owner.
-    std::optional<Micros> draw_even_share(double units, Micros lease_timeout);
+    std::optional<Micros> admit_by_even_share(double units, Micros lease_timeout);
 
     // Demand at this instance, as DemandEstimator::rate().
     double demand_rate() const;
@@ -115,8 +115,8 @@
 
   private:
     void change_plan(int plan);
-    double running_share() const;
-    double standing_store() const;
+    double active_standing_share() const;
+    double standing_store_capacity() const;
     double max_ceiling_units() const;
 
     const DecisionContext& context_;
@@ -130,10 +130,10 @@
     double ceiling_units_ = 0;
     double reserved_ceiling_units_ = 0;  // included in ceiling_units_
     Micros refilled_at_;
-    Micros even_share_free_at_{0};  // when the even share covers the next request
+    Micros even_share_available_at_{0};  // when the even share covers the next request
 
     double standing_share_ = 0;  // of the quota; refills the stores here
-    Micros standing_until_{0};
+    Micros standing_lease_expires_at_{0};
 
     DemandEstimator demand_;
     Micros lease_requested_at_{0};
@@ -141,7 +141,7 @@
     double fleet_demand_rate_ = 0;      // on all instances, as the owner reported
     Micros owner_reported_at_{0};       // 0: never
     Micros shortage_until_{0};
-    double shortage_units_ = 0;  // lowest request cost that is denied
+    double min_short_units_ = 0;  // lowest request cost that is denied
 };
 
 }  // namespace silverreach
--- a/src/decisions/quota/demand_estimator.cpp
+++ b/src/decisions/quota/demand_estimator.cpp
@@ -11,7 +11,7 @@
 constexpr double memory_s = 2;  // time constant of the decay
 // Units expected since the last request above which the demand counts as ended. If requests cost
 // one unit and arrive independently, a gap of this length occurs with a probability of e^-3.5, 3%.
-constexpr double missing_requests_when_ended = 3.5;
+constexpr double missing_units_when_ended = 3.5;
 
 }  // namespace
 
@@ -21,12 +21,12 @@
 }
 
 double DemandEstimator::rate(Micros now) const {
-    const double age_s = std::max(seconds(now - first_request_at_), memory_s);
+    const double observed_s = std::max(seconds(now - first_request_at_), memory_s);
     // A counter that started less than several time constants ago has not reached its full value
     // yet.
-    const double full_memory_s = memory_s * (1 - std::exp(-age_s / memory_s));
+    const double full_memory_s = memory_s * (1 - std::exp(-observed_s / memory_s));
     const double rate = units_.value(now, memory_s) / full_memory_s;
-    if (rate * seconds(now - last_request_at_) > missing_requests_when_ended) return 0;
+    if (rate * seconds(now - last_request_at_) > missing_units_when_ended) return 0;
     return std::ceil(rate / lease_unit_step) * lease_unit_step;
 }
 
--- a/src/decisions/quota/lease_client.h
+++ b/src/decisions/quota/lease_client.h
@@ -55,9 +55,10 @@
     using InFlightRequests = std::unordered_map<std::uint32_t, InFlightRequest>;
 
     void request_lease(CustomerQuota& customer);
-    void send(CustomerQuota& customer, const LeaseRequest& request, int rank, bool has_waiting);
+    void send_request(CustomerQuota& customer, const LeaseRequest& request, int rank,
+                      bool has_waiting_requests);
     void fall_back_to_even_share(CustomerQuota& customer);
-    void apply(CustomerQuota& customer, const LeaseGrant& grant);
+    void handle_grant(CustomerQuota& customer, const LeaseGrant& grant);
     bool admit_waiting(CustomerQuota& customer);
     void deny_waiting(CustomerQuota& customer, Micros retry_after);
     void schedule_renewal(CustomerQuota& customer);
--- a/src/decisions/quota/lease_codec.h
+++ b/src/decisions/quota/lease_codec.h
@@ -52,7 +52,7 @@
 
 inline constexpr double lease_unit_step = 1.0 / 16;
 inline constexpr double standing_share_step = 1.0 / 65535;
-inline constexpr std::size_t max_message_bytes = 256;  // of a datagram
+inline constexpr std::size_t max_datagram_bytes = 256;
 inline constexpr std::size_t max_messages_per_datagram = 9;
 
 // Returns the largest multiple of `step` that does not exceed `amount`.
--- a/src/decisions/quota/lease_terms.cpp
+++ b/src/decisions/quota/lease_terms.cpp
@@ -12,18 +12,19 @@
 constexpr Micros min_lease_lifetime{2'000'000};
 constexpr int lease_lifetime_periods = 4;  // renewals that may be lost before a lease expires
 
-// The evenly split share of a ceiling is split_share_instances / subset size, at most
-// max_split_share. It shrinks in large subsets, because most of their instances do not use their
-// part.
-constexpr double max_split_share = 0.5;
-constexpr double split_share_instances = 2;
+// The evenly split share of a ceiling is even_split_instances / subset size, at most
+// max_even_split_share. It shrinks in large subsets, because most of their instances do not use
+// their part.
+constexpr double max_even_split_share = 0.5;
+constexpr double even_split_instances = 2;
 
 }  // namespace
 
 Micros LeaseTerms::renewal_period(int holder_count) const {
-    const double intake_rate =
-        std::max(1.0, settings_.peer_messages_per_second * usable_intake_share);
-    return micros(std::max(min_renewal_period_s, renewal_margin * holder_count / intake_rate));
+    const double usable_message_rate =
+        std::max(1.0, settings_.peer_messages_per_second * usable_message_rate_share);
+    return micros(
+        std::max(min_renewal_period_s, renewal_margin * holder_count / usable_message_rate));
 }
 
 Micros LeaseTerms::lease_lifetime(Micros renewal_period) {
@@ -39,7 +40,7 @@
 }
 
 double common_ceiling_share(int subset_size) {
-    return 1 - std::min(max_split_share, split_share_instances / subset_size);
+    return 1 - std::min(max_even_split_share, even_split_instances / subset_size);
 }
 
 double even_ceiling_share(double amount, int subset_size) {
--- a/src/decisions/quota/owner_placement.h
+++ b/src/decisions/quota/owner_placement.h
@@ -15,9 +15,9 @@
     int start = 0;
 };
 
-// Returns the rank of the owner (`successor` 0) or of its n-th successor. The result is the same at
-// every instance, so that no agreement protocol is needed. `instance_count` is the number of
-// instances in the fleet, at least 1.
-int quota_owner(const CustomerSubset& subset, int successor, int instance_count);
+// Returns the rank of the owner (`successor_index` 0) or of its n-th successor. The result is the
+// same at every instance, so that no agreement protocol is needed. `instance_count` is the number
+// of instances in the fleet, at least 1.
+int quota_owner(const CustomerSubset& subset, int successor_index, int instance_count);
 
 }  // namespace silverreach
--- a/src/decisions/quota/peer_mailbox.h
+++ b/src/decisions/quota/peer_mailbox.h
@@ -17,7 +17,7 @@
 namespace silverreach {
 
 // Share of Settings::peer_messages_per_second that all senders to one peer use together.
-inline constexpr double usable_intake_share = 0.8;
+inline constexpr double usable_message_rate_share = 0.8;
 
 // Single-threaded like the engine.
 class PeerMailbox {
@@ -45,31 +45,31 @@
 
   private:
     // Datagrams that may be sent to a peer in a burst.
-    static constexpr double burst_messages = 3;
+    static constexpr double max_send_tokens = 3;
 
     struct Peer {
-        int requests_lost = 0;  // consecutive
+        int lost_requests = 0;  // consecutive
         Micros unresponsive_until{0};
-        Micros last_received{0};
+        Micros last_received_at{0};
         int holder_count = 1;  // instances that share the message rate of this peer
-        double send_tokens = burst_messages;
+        double send_tokens = max_send_tokens;
         Micros tokens_refilled_at{0};
         std::vector<PeerMessage> outbox;
         int grants_in_outbox = 0;
-        bool timer_pending = false;
+        bool is_timer_pending = false;
     };
 
-    Micros post(int rank, const PeerMessage& message, bool urgent);
+    Micros post(int rank, const PeerMessage& message, bool is_urgent);
     void send_outbox(int rank, Peer& peer);
     double send_rate(const Peer& peer) const;
 
     DecisionContext& context_;
     std::unordered_map<int, Peer> peers_;  // by rank
-    std::vector<int> posted_to_;           // ranks of the peers that have messages of this event
+    std::vector<int> posted_ranks_;        // ranks of the peers that have messages of this event
     // Numbers of peers that sent something in the current counting window and in the previous one.
     int active_peers_ = 0;
     int previous_active_peers_ = 0;
-    Micros window_began_{0};
+    Micros window_started_at_{0};
 };
 
 }  // namespace silverreach
--- a/src/decisions/quota/quota_ledger.cpp
+++ b/src/decisions/quota/quota_ledger.cpp
@@ -15,7 +15,7 @@
 constexpr double initial_burst_share = 0.5;
 constexpr double max_leased_share = 0.9;  // sum of all standing leases of a customer
 // Approximate upper limit of a standing lease's rate, as a multiple of its holder's demand.
-constexpr double max_standing_per_demand = 2;
+constexpr double max_standing_demand_ratio = 2;
 constexpr double max_surplus_share = 0.5;  // of the pool beyond the required units, per grant
 constexpr double surplus_per_demand_share = 2;
 constexpr Micros holder_idle_timeout{5'000'000};
@@ -38,14 +38,14 @@
     // Time from which all active leases are known: those that an earlier incarnation of this
     // instance granted have expired by then. If the complete subset has reported its leases, it is
     // the start of this instance.
-    Micros leases_known_at;
+    Micros all_leases_known_at;
 
     // Rate and burst of the plan's main limit: the rate quota, or the ceiling if there is none.
     double main_rate() const { return plan.rate > 0 ? plan.rate : plan.ceiling_rate; }
     double main_burst() const { return plan.rate > 0 ? plan.burst : plan.ceiling_burst; }
 };
 
-double LeaseHolder::running_share(Micros now) const {
+double LeaseHolder::max_active_share(Micros now) const {
     return now < lease_expires_at ? std::max(granted_share, requested_share) : 0;
 }
 
@@ -60,15 +60,15 @@
       refilled_at_(context.boot) {}
 
 LeaseGrant QuotaLedger::grant(const LeaseRequest& request, int rank) {
-    const GrantInput input = input_for(request, rank);
+    const GrantInput input = make_grant_input(request, rank);
     refill(input);
     LeaseHolder& holder = holders_[rank];
     record_request(input, holder);
     remove_idle_holders();
-    const double fleet_demand_rate = demand_rate(input);
+    const double fleet_demand_rate = total_demand_rate(input);
     leased_share_ = share_leased_to_others(rank);
     holder.granted_share = standing_share_for(input, fleet_demand_rate);
-    leased_share_ += holder.running_share(context_.now);
+    leased_share_ += holder.max_active_share(context_.now);
     add_returned_units(input);
 
     LeaseGrant grant{request.nonce};
@@ -79,16 +79,17 @@
     return grant;
 }
 
-QuotaLedger::GrantInput QuotaLedger::input_for(const LeaseRequest& request, int rank) const {
+QuotaLedger::GrantInput QuotaLedger::make_grant_input(const LeaseRequest& request, int rank) const {
     const Settings& settings = context_.settings;
-    const auto known = holders_.find(rank);
-    const bool is_known = known != holders_.end();
+    const auto known_holder = holders_.find(rank);
+    const bool is_known = known_holder != holders_.end();
     const int holder_count = static_cast<int>(holders_.size()) + (is_known ? 0 : 1);
-    const std::uint32_t last_nonce = is_known ? known->second.last_nonce : 0;
+    const std::uint32_t last_nonce = is_known ? known_holder->second.last_nonce : 0;
     const CustomerSubset subset{request.customer_hash, request.subset_size, request.subset_start};
-    Micros leases_known_at = context_.boot;
+    Micros all_leases_known_at = context_.boot;
     if (holder_count < request.subset_size)
-        leases_known_at += LeaseTerms::lease_lifetime(terms_.renewal_period(request.subset_size));
+        all_leases_known_at +=
+            LeaseTerms::lease_lifetime(terms_.renewal_period(request.subset_size));
     return {
         .request = request,
         .plan = settings.plans[request.plan],
@@ -97,7 +98,7 @@
         .is_owner = quota_owner(subset, 0, settings.instance_count) == settings.rank,
         .is_stale = last_nonce != 0 && static_cast<std::int32_t>(request.nonce - last_nonce) <= 0,
         .common_share = common_ceiling_share(request.subset_size),
-        .leases_known_at = leases_known_at};
+        .all_leases_known_at = all_leases_known_at};
 }
 
 // The pool refills at the part of the rates, and up to the part of the burst, that the standing
@@ -105,18 +106,19 @@
 void QuotaLedger::refill(const GrantInput& input) {
     const Plan& plan = input.plan;
     const Micros now = context_.now;
-    const Micros last = std::exchange(refilled_at_, now);
+    const Micros last_refilled_at = std::exchange(refilled_at_, now);
     const double free_share = 1 - leased_share_;
-    const double free_s = seconds(now - last) * free_share;
+    // The unleased part of the time, in seconds at the plan's full rate.
+    const double free_full_rate_s = seconds(now - last_refilled_at) * free_share;
     const double leased_units =
         leased_share_ * terms_.standing_burst(plan.rate, plan.burst, input.request.subset_size) *
         (standing_store_share + standing_overdraft_share);
     const double max_units =
         input.is_owner ? plan.burst - leased_units : initial_burst_share * plan.burst;
-    units_ = std::min(max_units, units_ + free_s * plan.rate);
-    if (input.is_owner && now > input.leases_known_at)
-        ceiling_units_ += seconds(now - std::max(last, input.leases_known_at)) * free_share *
-                          input.common_share * plan.ceiling_rate;
+    units_ = std::min(max_units, units_ + free_full_rate_s * plan.rate);
+    if (input.is_owner && now > input.all_leases_known_at)
+        ceiling_units_ += seconds(now - std::max(last_refilled_at, input.all_leases_known_at)) *
+                          free_share * input.common_share * plan.ceiling_rate;
 }
 
 // Updates the holder's entry except for the standing lease, which is granted later. If the request
@@ -129,14 +131,14 @@
     const bool grant_arrived =
         std::abs(request.standing_share - holder.granted_share) < standing_share_step / 2;
     if (!input.is_stale && grant_arrived) {
-        const double overestimate_s = (holder.running_share(now) - holder.granted_share) *
-                                      seconds(now - holder.last_request_at);
-        units_ += overestimate_s * plan.rate;
+        const double excess_full_rate_s = (holder.max_active_share(now) - holder.granted_share) *
+                                          seconds(now - holder.last_request_at);
+        units_ += excess_full_rate_s * plan.rate;
         if (input.is_owner)
-            ceiling_units_ += overestimate_s * plan.ceiling_rate * input.common_share;
+            ceiling_units_ += excess_full_rate_s * plan.ceiling_rate * input.common_share;
     }
     holder.requested_share = input.is_stale
-                                 ? std::max(request.standing_share, holder.running_share(now))
+                                 ? std::max(request.standing_share, holder.max_active_share(now))
                                  : request.standing_share;
     holder.demand_rate = request.demand_rate;
     holder.granted_share = 0;
@@ -151,7 +153,7 @@
                   [this](const auto& entry) { return entry.second.is_idle(context_.now); });
 }
 
-double QuotaLedger::demand_rate(const GrantInput& input) const {
+double QuotaLedger::total_demand_rate(const GrantInput& input) const {
     double sum = input.request.demand_rate;
     for (const auto& [rank, holder] : holders_)
         if (rank != input.rank) sum += holder.demand_rate;
@@ -161,7 +163,7 @@
 double QuotaLedger::share_leased_to_others(int rank) const {
     double sum = 0;
     for (const auto& [holder_rank, holder] : holders_)
-        if (holder_rank != rank) sum += holder.running_share(context_.now);
+        if (holder_rank != rank) sum += holder.max_active_share(context_.now);
     return sum;
 }
 
@@ -175,7 +177,7 @@
         return 0;
     const double rate = input.main_rate();
     const double total_demand =
-        std::max({fleet_demand_rate, rate / max_standing_per_demand, min_rate});
+        std::max({fleet_demand_rate, rate / max_standing_demand_ratio, min_rate});
     const double fair_share = std::min(max_leased_share * request.demand_rate / total_demand,
                                        max_leased_share - leased_share_);
     const double standing_burst =
@@ -183,7 +185,8 @@
     if (fair_share * standing_burst < context_.traffic.mean_units) return 0;
     // After a restart the owner of a ceiling only renews active leases, because it does not know
     // the other leases yet.
-    const bool renew_only = input.plan.ceiling_rate > 0 && context_.now <= input.leases_known_at;
+    const bool renew_only =
+        input.plan.ceiling_rate > 0 && context_.now <= input.all_leases_known_at;
     const double share = renew_only ? std::min(fair_share, request.standing_share) : fair_share;
     return round_down_to_step(share, standing_share_step);
 }
@@ -208,28 +211,29 @@
 double QuotaLedger::wait_s(const GrantInput& input) const {
     const LeaseRequest& request = input.request;
     const Plan& plan = input.plan;
-    double wait = 0;
+    double wait_time_s = 0;
     if (request.required_units > units_)
-        wait = (request.required_units - units_) / std::max(plan.rate, min_rate);
+        wait_time_s = (request.required_units - units_) / std::max(plan.rate, min_rate);
     if (request.ceiling_units > ceiling_units_)
-        wait = std::max(
-            wait, (request.ceiling_units - ceiling_units_) / std::max(plan.ceiling_rate, min_rate));
-    return wait;
+        wait_time_s = std::max(wait_time_s, (request.ceiling_units - ceiling_units_) /
+                                                std::max(plan.ceiling_rate, min_rate));
+    return wait_time_s;
 }
 
 void QuotaLedger::grant_units(const GrantInput& input, LeaseGrant& grant) {
     const LeaseRequest& request = input.request;
-    const double wait = wait_s(input);
-    if (wait > 0) grant.wait_ms = static_cast<std::uint32_t>(std::min(wait, max_wait_s) * 1e3) + 1;
-    if (wait > 0 && request.required_units > 0) return;
+    const double wait_time_s = wait_s(input);
+    if (wait_time_s > 0)
+        grant.wait_ms = static_cast<std::uint32_t>(std::min(wait_time_s, max_wait_s) * 1e3) + 1;
+    if (wait_time_s > 0 && request.required_units > 0) return;
     const double surplus_share =
         std::min(max_surplus_share, surplus_per_demand_share * request.demand_rate /
                                         std::max(grant.demand_rate, min_rate));
     const double surplus = (units_ - request.required_units) * surplus_share;
     grant.units =
         request.required_units + round_down_to_step(std::clamp(surplus, 0.0, request.extra_units));
-    grant.ceiling_units =
-        wait > 0 ? round_down_to_step(ceiling_units_ * surplus_share) : request.ceiling_units;
+    grant.ceiling_units = wait_time_s > 0 ? round_down_to_step(ceiling_units_ * surplus_share)
+                                          : request.ceiling_units;
     units_ -= grant.units;
     ceiling_units_ -= grant.ceiling_units;
 }
--- a/src/decisions/quota/quota_ledger.h
+++ b/src/decisions/quota/quota_ledger.h
@@ -27,7 +27,7 @@
 
     // The largest standing share that may be active at the holder: the last grant may have been
     // lost.
-    double running_share(Micros now) const;
+    double max_active_share(Micros now) const;
     bool is_idle(Micros now) const;
 };
 
@@ -48,11 +48,11 @@
   private:
     struct GrantInput;
 
-    GrantInput input_for(const LeaseRequest& request, int rank) const;
+    GrantInput make_grant_input(const LeaseRequest& request, int rank) const;
     void refill(const GrantInput& input);
     void record_request(const GrantInput& input, LeaseHolder& holder);
     void remove_idle_holders();
-    double demand_rate(const GrantInput& input) const;
+    double total_demand_rate(const GrantInput& input) const;
     double share_leased_to_others(int rank) const;
     double standing_share_for(const GrantInput& input, double fleet_demand_rate) const;
     void add_returned_units(const GrantInput& input);
--- a/src/decisions/quota/quota_manager.cpp
+++ b/src/decisions/quota/quota_manager.cpp
@@ -68,8 +68,8 @@
 }
 
 void QuotaManager::on_attempt_sent(CustomerQuota& customer, Reservation& reservation, double units,
-                                   bool first_attempt) {
-    customer.on_attempt_sent(reservation, units, first_attempt);
+                                   bool is_first_attempt) {
+    customer.on_attempt_sent(reservation, units, is_first_attempt);
 }
 
 void QuotaManager::release(CustomerQuota& customer, const Reservation& reservation) {
@@ -113,8 +113,8 @@
     std::erase_if(customers_, [this](const auto& entry) {
         const CustomerQuota& customer = entry.second;
         return context_.now - customer.last_request_at() >= idle_timeout &&
-               customer.open_requests == 0 && !customer.pending_lease.in_flight() &&
-               !customer.pending_lease.renewal_scheduled;
+               customer.open_requests == 0 && !customer.pending_lease.is_in_flight() &&
+               !customer.pending_lease.is_renewal_scheduled;
     });
 }
 
--- a/src/decisions/quota/quota_manager.h
+++ b/src/decisions/quota/quota_manager.h
@@ -2,9 +2,9 @@
 // this instance, the leases that instances request from and grant to each other, and the messages
 // between them.
 //
-// The engine passes events to it. If the stores cover a request, the engine learns it from
-// missing_units() and missing_ceiling_units(); if the request has to wait for a lease, the
-// QuotaListener receives the result.
+// The engine passes events to it. missing_units() and missing_ceiling_units() say whether the
+// stores cover a request; if the request has to wait for a lease, the QuotaListener receives the
+// result.
 #pragma once
 
 #include <cstdint>
@@ -49,12 +49,12 @@
     // instance is the owner, before this call returns.
     void wait_for_lease(CustomerQuota& customer, RequestId id);
 
-    // Reserves `units` in the stores for an admitted request; of the rate quota only if
+    // Reserves `units` in the stores for an admitted request; in the rate store only if
     // `within_quota`.
     Reservation reserve(CustomerQuota& customer, double units, bool within_quota);
     // Call for each attempt that is sent. The first one uses up the reservation.
     void on_attempt_sent(CustomerQuota& customer, Reservation& reservation, double units,
-                         bool first_attempt);
+                         bool is_first_attempt);
     // Gives back the reserved units of a request that was never sent.
     void release(CustomerQuota& customer, const Reservation& reservation);
     // Replaces the charged units of a request by the actual ones that its response reported. Call
--- a/src/decisions/quota/warming_up_limiter.cpp
+++ b/src/decisions/quota/warming_up_limiter.cpp
@@ -22,7 +22,7 @@
 
 void WarmingUpLimiter::refill(Micros now, double stable_s, double warmup_s) {
     const double max_units = max_stored_units(stable_s, warmup_s);
-    if (!started()) {
+    if (!is_started()) {
         stored_units_ = max_units;
         next_free_ = now;
     }
--- a/src/decisions/quota/warming_up_limiter.h
+++ b/src/decisions/quota/warming_up_limiter.h
@@ -23,7 +23,7 @@
     Micros next_free() const { return next_free_; }
 
   private:
-    bool started() const { return stored_units_ >= 0; }
+    bool is_started() const { return stored_units_ >= 0; }
 
     double stored_units_ = -1;
     Micros next_free_{0};
--- a/tests/decisions/quota/lease_codec_test.cpp
+++ b/tests/decisions/quota/lease_codec_test.cpp
@@ -41,7 +41,7 @@
 TEST(LeaseCodec, AFullDatagramFits) {
     const std::string bytes =
         encode(std::vector<PeerMessage>(max_messages_per_datagram + 3, LeaseRequest{}));
-    EXPECT_LE(bytes.size(), max_message_bytes);
+    EXPECT_LE(bytes.size(), max_datagram_bytes);
     ASSERT_TRUE(decode(bytes));
     EXPECT_EQ(decode(bytes)->size(), max_messages_per_datagram);
 }
