--- a/tests/decisions/quota/lease_client_test.cpp
+++ b/tests/decisions/quota/lease_client_test.cpp
@@ -1,4 +1,4 @@
-// Quota leases from the holder's side: what one instance does with the owner's grants.
+// Quota leases from the holder's side: how one instance handles the owner's grants.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,26 +12,27 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Time in which leases become standing ones, and the standing share that the owner grants.
-constexpr Micros steady_use = 3s;
-constexpr double half_of_quota = 0.5;
-// So many instances that the harness is no successor of the owner.
+// Time of steady demand after which the instance holds a standing lease.
+constexpr Micros steady_use_duration = 3s;
+constexpr double half_of_quota = 0.5;  // standing share that the owner grants
+// Enough instances that the harness is not a successor of the owner.
 constexpr int large_fleet = 64;
 
-// The owner does not respond; each other instance grants what is required of it.
+// A fleet whose owner does not respond; every other instance grants the required units.
 class UnresponsiveOwnerFleet {
   public:
     UnresponsiveOwnerFleet() : harness_(settings()) {}
-    // Sends one request and runs for 500 ms; returns how many attempts were sent.
+    // Sends one request and runs for 500 ms. Returns the number of attempts that were sent.
     int serve(RequestId id) {
         int sent_count = 0;
-        std::vector<Action> caused = harness_.arrive({.id = id, .subset_size = subset_size});
+        std::vector<Action> caused_actions =
+            harness_.arrive({.id = id, .subset_size = subset_size});
         for (Micros elapsed{0}; elapsed < 500ms; elapsed += 10ms) {
-            const auto by_timers = harness_.advance(10ms);
-            append(caused, by_timers);
-            sent_count += static_cast<int>(actions_of<SendAttempt>(by_timers).size());
+            const auto timer_actions = harness_.advance(10ms);
+            append(caused_actions, timer_actions);
+            sent_count += static_cast<int>(actions_of<SendAttempt>(timer_actions).size());
             for (const SendPeerMessage& message :
-                 actions_of<SendPeerMessage>(std::exchange(caused, {})))
+                 actions_of<SendPeerMessage>(std::exchange(caused_actions, {})))
                 sent_count += reply_to(message);
         }
         return sent_count;
@@ -66,10 +67,10 @@
 
 TEST(LeaseClient, UnresponsiveOwnerIsReplacedByItsSuccessor) {
     UnresponsiveOwnerFleet fleet;
-    int served = 0;
+    int served_count = 0;
     for (RequestId id = 1; id <= 40; ++id)
-        served += fleet.serve(id);
-    EXPECT_EQ(served, 40);
+        served_count += fleet.serve(id);
+    EXPECT_EQ(served_count, 40);
 }
 
 TEST(LeaseClient, DuplicateGrantCountsOnce) {
@@ -86,7 +87,7 @@
     const PeerMessageReceived message{requested[0].to, grant};
     EXPECT_EQ(actions_of<SendAttempt>(harness.handle(message)).size(), 1u);
     EXPECT_TRUE(harness.handle(message).empty());
-    // No units are left: the instance requests another lease.
+    // No units are left, so that the instance requests another lease.
     EXPECT_TRUE(actions_of<SendAttempt>(
                     harness.arrive({.id = 2, .time_remaining = time_remaining, .subset_size = 2}))
                     .empty());
@@ -103,8 +104,8 @@
     }
 }
 
-// At 64 instances an even share of the ceiling is less than one unit.
-TEST(LeaseClient, CeilingLeaseGrantedForARequestIsNotCutBelowIt) {
+// With 64 instances the even share of the ceiling is less than one unit.
+TEST(LeaseClient, CeilingGrantCoversItsRequestAboveTheLocalLimit) {
     LeaseHolderHarness holder(large_fleet);
     holder.settings.plans[0].ceiling_rate = 10;
     holder.settings.plans[0].ceiling_burst = 10;
@@ -112,17 +113,18 @@
     const auto requests = lease_requests_to(holder.owner, holder.arrive(1));
     ASSERT_EQ(requests.size(), 1u);
     EXPECT_GT(requests[0].ceiling_units, 0.9);
-    const auto caused = holder.grant(requests[0], {.units = 1,
-                                                   .ceiling_units = requests[0].ceiling_units,
-                                                   .demand_rate = 1,
-                                                   .holder_count = 1});
-    EXPECT_EQ(actions_of<SendAttempt>(caused).size(), 1u);
+    const auto caused_actions =
+        holder.grant(requests[0], {.units = 1,
+                                   .ceiling_units = requests[0].ceiling_units,
+                                   .demand_rate = 1,
+                                   .holder_count = 1});
+    EXPECT_EQ(actions_of<SendAttempt>(caused_actions).size(), 1u);
 }
 
 TEST(StandingLease, RefillsWithoutFurtherGrants) {
     LeaseHolderHarness holder;
-    RequestId last_id = holder.use_steadily(steady_use, 0, half_of_quota);
-    for (int request = 0; request < 15; ++request) {  // half of the quota refills at 20 units/s
+    RequestId last_id = holder.use_steadily(steady_use_duration, 0, half_of_quota);
+    for (int request = 0; request < 15; ++request) {  // half of the quota adds 20 units/s
         holder.instance.advance(100ms);
         EXPECT_EQ(holder.count_sent_at_once(last_id, 1), 1) << request;
     }
@@ -130,8 +132,8 @@
 
 TEST(StandingLease, ExpiresWithoutRenewal) {
     LeaseHolderHarness holder(large_fleet);
-    RequestId last_id = holder.use_steadily(steady_use, 0, half_of_quota);
-    holder.instance.advance(2500ms);  // it expires on the way
+    RequestId last_id = holder.use_steadily(steady_use_duration, 0, half_of_quota);
+    holder.instance.advance(2500ms);  // the lease expires in this time
     holder.count_sent_at_once(last_id, 1000);
     holder.instance.advance(1s);
     EXPECT_EQ(holder.count_sent_at_once(last_id, 20), 0);
@@ -139,7 +141,7 @@
 
 TEST(StandingLease, IsNotEndedByASuccessorsGrant) {
     LeaseHolderHarness holder(3);
-    RequestId last_id = holder.use_steadily(steady_use, 0, half_of_quota);
+    RequestId last_id = holder.use_steadily(steady_use_duration, 0, half_of_quota);
     const int successor = 3 - holder.owner - holder.settings.rank;
     holder.instance.handle(
         PeerMessageReceived{successor, encode({LeaseGrant{.nonce = 1, .demand_rate = 1}})});
@@ -149,23 +151,23 @@
 
 TEST(StandingLease, RequestsOverTheQuotaAreRejectedWithoutWaitingForAGrant) {
     LeaseHolderHarness holder(2, 4, 4);
-    RequestId last_id = holder.use_steadily(steady_use, 0, half_of_quota);
+    RequestId last_id = holder.use_steadily(steady_use_duration, 0, half_of_quota);
     holder.count_sent_at_once(last_id, 50);
     EXPECT_EQ(actions_of<RejectRequest>(holder.arrive(++last_id)).size(), 1u);
 }
 
 TEST(StandingLease, UnusedUnitsAreReturned) {
     LeaseHolderHarness holder;
-    holder.use_steadily(steady_use, 0, half_of_quota);
+    holder.use_steadily(steady_use_duration, 0, half_of_quota);
     double returned_units = 0;
     for (const LeaseRequest& request : lease_requests_to(holder.owner, holder.instance.advance(2s)))
         returned_units += request.returned_units;
     EXPECT_GT(returned_units, 3);
 }
 
-TEST(StandingLease, IdleCustomersUnresponsiveOwnerIsRequestedSeldom) {
+TEST(StandingLease, IdleCustomerSendsFewLeaseRequestsToAnUnresponsiveOwner) {
     LeaseHolderHarness holder(large_fleet);
-    holder.use_steadily(steady_use, 0, half_of_quota);
+    holder.use_steadily(steady_use_duration, 0, half_of_quota);
     const auto request_count = lease_requests_to(holder.owner, holder.instance.advance(10s)).size();
     EXPECT_GE(request_count, 1u);
     EXPECT_LE(request_count, 60u);
--- a/tests/decisions/quota/lease_compatibility_test.cpp
+++ b/tests/decisions/quota/lease_compatibility_test.cpp
@@ -1,5 +1,5 @@
-// Instances of different versions share leases: messages recorded from an earlier release decode
-// to the same fields, and the same fields encode to the same bytes.
+// Instances of different versions exchange leases. Messages recorded from an earlier release must
+// decode to the same fields, and the same fields must encode to the same bytes.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,11 +12,11 @@
 
 namespace {
 
-std::string from_hex(std::string_view digits) {
+std::string from_hex(std::string_view hex_digits) {
     std::string bytes;
-    for (std::size_t i = 0; i + 1 < digits.size(); i += 2)
+    for (std::size_t i = 0; i + 1 < hex_digits.size(); i += 2)
         bytes.push_back(
-            static_cast<char>(std::stoi(std::string(digits.substr(i, 2)), nullptr, 16)));
+            static_cast<char>(std::stoi(std::string(hex_digits.substr(i, 2)), nullptr, 16)));
     return bytes;
 }
 
@@ -48,7 +48,8 @@
     EXPECT_EQ(grant.holder_count, expected.holder_count);
 }
 
-// `sent` encodes to the recorded datagram; that decodes to `received`, which encodes to it again.
+// Expects that `sent` encodes to the recorded datagram, that the datagram decodes to `received`,
+// and that the decoded message encodes to the same datagram.
 template <typename Message>
 void expect_compatible(std::string_view recorded, const Message& sent, const Message& received) {
     const std::string bytes = from_hex(recorded);
@@ -84,7 +85,7 @@
                       LeaseGrant{0x01020305, 63.5, 0.5, 0, 1234.5, 0.45670252536812389, 12});
 }
 
-TEST(LeaseCompatibility, GrantOfNothing) {
+TEST(LeaseCompatibility, EmptyGrant) {
     expect_compatible("a9020700000000000000ffff880200000000a95b",
                       LeaseGrant{7, 0, 0, 99999, 40.5, 0, 0},
                       LeaseGrant{7, 0, 0, 65535, 40.5, 0, 0});
--- a/tests/decisions/quota/lease_owner_test.cpp
+++ b/tests/decisions/quota/lease_owner_test.cpp
@@ -1,4 +1,4 @@
-// Quota leases from the owner's side, through the engine.
+// Quota leases from the owner's side, through the complete engine.
 #include <gtest/gtest.h>
 
 #include <variant>
@@ -24,7 +24,7 @@
     LeaseRequest request{
         .nonce = 11, .customer_hash = hash_name(default_customer), .plan = 0, .subset_size = 2};
     request.required_units = 50;
-    ASSERT_EQ(granted_units(request), 50);  // half of the burst, all that a fresh owner has
+    ASSERT_EQ(granted_units(request), 50);  // half of the burst, the complete pool of a new owner
     request.nonce = 13;
     request.required_units = 0;
     request.returned_units = 10;
--- a/tests/decisions/quota/pacing_test.cpp
+++ b/tests/decisions/quota/pacing_test.cpp
@@ -1,7 +1,7 @@
 // Pacing by the warming-up limiter while the back end is overloaded. In the plan of 2 units/s with
-// a burst of 4 the stable interval is 0.5 s, the warm-up 2 s, the threshold 2 permits, the maximum
-// 4 permits and the slope 0.5 s per permit. From full, the first permit costs (1.5 s + 1.0 s) / 2
-// = 1.25 s.
+// a burst of 4 units the stable interval is 0.5 s, the warm-up time 2 s, the threshold 2 units, the
+// capacity 4 units and the slope 0.5 s per unit. If the store is full, the first unit costs
+// (1.5 s + 1.0 s) / 2 = 1.25 s.
 #include <gtest/gtest.h>
 
 #include "tests/decisions/support/engine_harness.h"
@@ -13,7 +13,7 @@
 TEST(Pacing, DelaysTheNextRequestAndRejectsEarlyBeyondItsDeadline) {
     EngineHarness harness(single_instance_settings());
     drive_into_overload(harness);
-    EXPECT_EQ(actions_of<SendAttempt>(harness.arrive({.id = 1})).size(), 1u);  // sent at once
+    EXPECT_EQ(actions_of<SendAttempt>(harness.arrive({.id = 1})).size(), 1u);  // without delay
     const auto rejected = actions_of<RejectRequest>(harness.arrive({.id = 2}));
     ASSERT_EQ(rejected.size(), 1u);
     EXPECT_NEAR(rejected[0].retry_after.count(), 1'250'000, 2);
@@ -22,8 +22,8 @@
     EXPECT_NEAR(rejected_again[0].retry_after.count(), 1'250'000, 2);  // nothing was charged
 }
 
-// Two units in the warming-up range: 2 x 1.5 - 0.5 x 2 x 2 / 2 = 2 s; a third below the threshold:
-// 0.5 s.
+// Two units above the threshold cost 2 x 1.5 - 0.5 x 2 x 2 / 2 = 2 s, and a third one below it
+// costs 0.5 s.
 TEST(Pacing, ChargesSeveralUnitsAcrossTheThreshold) {
     EngineHarness harness(single_instance_settings());
     harness.advance(2s);
@@ -36,7 +36,7 @@
 
 TEST(Pacing, ReleasesDelayedRequestByTimer) {
     Settings settings = single_instance_settings();
-    settings.plans[0].rate = 20;  // stable interval 50 ms: the first permit costs at most 150 ms
+    settings.plans[0].rate = 20;  // stable interval 50 ms: the first unit costs at most 150 ms
     settings.plans[0].burst = 40;
     EngineHarness harness(settings);
     drive_into_overload(harness);
--- a/tests/decisions/quota/quota_accounting_test.cpp
+++ b/tests/decisions/quota/quota_accounting_test.cpp
@@ -1,4 +1,4 @@
-// Quota accounting of one instance: rate quota, ceiling and changes of plan.
+// Quota accounting of one instance: rate quota, ceiling and plan changes.
 #include <gtest/gtest.h>
 
 #include "tests/decisions/support/engine_harness.h"
@@ -14,7 +14,7 @@
     plan_with_ceiling
 };
 
-Settings three_plans() {
+Settings settings_with_three_plans() {
     Settings settings = single_instance_settings();
     settings.plans = {{.name = "small", .rate = 1, .burst = 4, .excess_cost_factor = 1},
                       {.name = "big", .rate = 2, .burst = 40, .excess_cost_factor = 1},
@@ -30,7 +30,7 @@
 
 TEST(QuotaAccounting, AdmitsBurstThenRejectsWithRetryAfter) {
     EngineHarness harness(single_instance_settings());
-    harness.advance(2s);  // a fresh owner starts from half of the burst
+    harness.advance(2s);  // a new owner starts with half of the burst
     for (RequestId id = 1; id <= 4; ++id)
         EXPECT_EQ(actions_of<SendAttempt>(harness.arrive({.id = id})).size(), 1u);
     const auto rejected = actions_of<RejectRequest>(harness.arrive({.id = 5}));
@@ -52,7 +52,7 @@
     }
 }
 
-// It may have spent the burst before the restart.
+// The instance may have used the burst before the restart.
 TEST(QuotaAccounting, RestartedInstanceStartsWithEmptyCeiling) {
     Settings settings = single_instance_settings();
     settings.plans[0].ceiling_rate = 4;
@@ -64,7 +64,7 @@
 }
 
 TEST(QuotaAccounting, SwitchingPlansBackAndForthDoesNotRefillQuota) {
-    EngineHarness harness(three_plans());
+    EngineHarness harness(settings_with_three_plans());
     RequestId last_id = 0;
     const auto send_in_plan = [&](int plan) {
         const auto sent = actions_of<SendAttempt>(harness.arrive({.id = ++last_id, .plan = plan}));
@@ -76,19 +76,20 @@
     for (int request = 0; request < 40; ++request)
         sent += send_in_plan(request % 2 == 0 ? small_plan : big_plan);
     EXPECT_GE(sent, 2);
-    EXPECT_LE(sent, 3) << "half of the small burst at the start, and what a lease brings";
-    harness.advance(5s);  // refills ten units: the customer's latest plan is the big one
+    EXPECT_LE(sent, 3) << "half of the small plan's burst at the start, and the units of a lease";
+    harness.advance(5s);  // refills ten units, because the customer's latest plan is the big one
     sent = 0;
     for (int request = 0; request < 40; ++request)
         sent += send_in_plan(big_plan);
-    EXPECT_GE(sent, 8) << "the customer is not locked out";
+    EXPECT_GE(sent, 8) << "requests in the new plan are admitted";
     EXPECT_LE(sent, 11);
 }
 
 TEST(QuotaAccounting, SwitchToPlanWithCeilingChargesRequestsAdmittedBefore) {
-    EngineHarness harness(three_plans());
+    EngineHarness harness(settings_with_three_plans());
     harness.advance(100ms);
-    // Two requests are admitted in a plan without a ceiling and queued for want of an endpoint.
+    // Two requests are admitted in a plan without a ceiling and queued because no endpoint is
+    // available.
     harness.handle(EndpointsChanged{true, {}});
     for (RequestId id = 1; id <= 2; ++id)
         harness.arrive({.id = id, .plan = small_plan});
--- a/tests/decisions/quota/quota_fleet_test.cpp
+++ b/tests/decisions/quota/quota_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Quotas and ceilings over a whole fleet: what all instances together may send.
+// Quotas and ceilings over a complete fleet: limits on what all instances together send.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Token bucket that all attempts of the fleet are charged to; the lowest level is kept.
+// Token bucket to which all attempts of the fleet are charged. Records its lowest level.
 class ReferenceBucket {
   public:
     ReferenceBucket(double rate, double burst, Micros now)
@@ -35,7 +35,8 @@
     Micros updated_at_;
 };
 
-// Load on one customer's ceiling with idle spells, in which leases refill, and restarts.
+// Generates load on one customer's ceiling, with restarts and with idle periods in which leases
+// refill the stores.
 class CeilingLoad {
   public:
     CeilingLoad(int instance_count, std::uint64_t seed)
@@ -43,17 +44,17 @@
           fleet_(settings(), instance_count, seed),
           bucket_(rate(), burst(), fleet_.now) {}
     double burst() const { return 6.0 * subset_size_; }
-    // The lowest level of the ceiling over the whole run.
+    // Runs the load and returns the lowest level of the ceiling's bucket.
     double run() {
         constexpr int step_count = 1500;
-        constexpr int idle_spell_interval = 300;
-        constexpr int idle_spell_steps = 100;
+        constexpr int idle_period_interval = 300;
+        constexpr int idle_period_steps = 100;
         for (int step = 0; step < step_count; ++step) {
             fleet_.advance(Micros(4000 * (1 + fleet_.random() % 8)));
             charge_sent();
             const int rank = fleet_.random_rank(subset_size_);
             if (fleet_.random() % 200 == 0) fleet_.restart(rank);
-            if (step % idle_spell_interval >= idle_spell_steps) send_requests(step, rank);
+            if (step % idle_period_interval >= idle_period_steps) send_requests(step, rank);
         }
         return bucket_.lowest_level();
     }
@@ -62,7 +63,7 @@
     double rate() const { return 3.0 * subset_size_; }
     Settings settings() const {
         Settings settings = two_instance_settings();
-        settings.plans[0].rate = 50;  // so that only the ceiling limits
+        settings.plans[0].rate = 50;  // high enough that only the ceiling limits
         settings.plans[0].burst = 60;
         settings.plans[0].ceiling_rate = rate();
         settings.plans[0].ceiling_burst = burst();
@@ -98,14 +99,17 @@
             const double lowest_level = load.run();
             EXPECT_GE(lowest_level, -std::max(3.0, load.burst() / 10))
                 << instance_count << " instances, seed " << seed;
-            // Beyond its quota the shared burst is granted ahead of use, not to each request.
+            // The burst is not used completely: a customer that exceeds its quota gets the common
+            // share of it in advance of use, not for each request.
             EXPECT_LT(lowest_level, load.burst() * 0.8)
-                << "hardly any load: " << instance_count << " instances, seed " << seed;
+                << "the load hardly uses the ceiling: " << instance_count << " instances, seed "
+                << seed;
         }
     }
 }
 
-// An even split below one unit would lock customers out, or let each instance send one request.
+// With an even split of less than one unit, instances would reject all requests of a customer or
+// admit one request each.
 TEST(QuotaFleet, QuotaHoldsAndCustomersAreServedAcrossHundredsOfInstances) {
     constexpr Micros run_time = 20s;
     RequestId last_id = 0;
@@ -124,9 +128,10 @@
                 admitted.insert(sent.attempt.id);
             return static_cast<double>(admitted.size());
         };
-        // 5 requests/s at a quota of 10: nearly all 100 are admitted.
+        // 5 requests/s with a quota of 10 units/s: nearly all 100 requests are admitted.
         EXPECT_GT(count_admitted(200ms), 90) << instance_count;
-        // 50 requests/s: 220, and what lost lease requests add while a successor grants.
+        // 50 requests/s: 220 are admitted, and those for which a successor grants leases while
+        // lease requests to the owner are lost.
         const double admitted_over_quota = count_admitted(20ms);
         EXPECT_GT(admitted_over_quota, 150) << instance_count;
         EXPECT_LT(admitted_over_quota, 290) << instance_count;
--- a/tests/decisions/quota/warming_up_limiter_test.cpp
+++ b/tests/decisions/quota/warming_up_limiter_test.cpp
@@ -1,5 +1,5 @@
-// The limiter alone: Guava's SmoothWarmingUp with a stable interval of 0.1 s and 2 s of warming up
-// stores 20 units, 10 of them above the threshold.
+// The limiter without the engine. As Guava's SmoothWarmingUp, it stores 20 units, 10 of them above
+// the threshold, with a stable interval of 0.1 s and a warm-up time of 2 s.
 #include "decisions/quota/warming_up_limiter.h"
 
 #include <gtest/gtest.h>
@@ -11,27 +11,27 @@
 constexpr double stable_s = 0.1;
 constexpr double warmup_s = 2;
 
-// What a unit delays the next one by, in seconds.
+// Takes `units` and returns by how many seconds they delay the next ones.
 double cost_s(WarmingUpLimiter& limiter, double units) {
-    const Micros before = limiter.next_free();
+    const Micros next_free_before = limiter.next_free();
     limiter.reserve(units, stable_s, warmup_s);
-    return std::chrono::duration<double>(limiter.next_free() - before).count();
+    return std::chrono::duration<double>(limiter.next_free() - next_free_before).count();
 }
 }  // namespace
 
-TEST(WarmingUpLimiter, StartsColdAndTheFirstUnitIsFreeAtOnce) {
+TEST(WarmingUpLimiter, StartsColdAndGrantsTheFirstUnitWithoutDelay) {
     WarmingUpLimiter limiter;
     limiter.refill(5s, stable_s, warmup_s);
     EXPECT_EQ(limiter.next_free(), Micros(5s));
-    EXPECT_NEAR(cost_s(limiter, 1), 0.29, 1e-5);  // the middle of 0.3 and 0.28 s
+    EXPECT_NEAR(cost_s(limiter, 1), 0.29, 1e-5);  // the mean of 0.3 s and 0.28 s
 }
 
 TEST(WarmingUpLimiter, IsWarmOnceTheUnitsAboveTheThresholdAreUsed) {
     WarmingUpLimiter limiter;
     limiter.refill(5s, stable_s, warmup_s);
     EXPECT_NEAR(cost_s(limiter, 10), warmup_s, 1e-5);
-    EXPECT_NEAR(cost_s(limiter, 10), 1, 1e-5);   // stored ones below the threshold
-    EXPECT_NEAR(cost_s(limiter, 5), 0.5, 1e-5);  // fresh ones
+    EXPECT_NEAR(cost_s(limiter, 10), 1, 1e-5);   // stored units below the threshold
+    EXPECT_NEAR(cost_s(limiter, 5), 0.5, 1e-5);  // units that were not stored
 }
 
 TEST(WarmingUpLimiter, CoolsDownAgainWithinTheWarmupPeriod) {
