--- a/src/openapi/description.cpp
+++ b/src/openapi/description.cpp
@@ -10,11 +10,11 @@
 namespace silverreach::openapi {
 namespace {
 using Kind = Value::Kind;
-constexpr std::string_view extension = "x-silverreach-";
-constexpr int most_references = 32;
-constexpr std::size_t most_bases = 64;
+constexpr std::string_view extension_prefix = "x-silverreach-";
+constexpr int max_references = 32;
+constexpr std::size_t max_base_paths = 64;
 
-struct Found {  // an extension's value and the level it stands at
+struct ExtensionValue {  // an extension's value and the level it stands at
     const Value* value = nullptr;
     std::string_view level;
 };
@@ -27,111 +27,113 @@
           problems_(problems),
           description_(std::make_shared<Description>()) {}
 
-    std::shared_ptr<const Description> run(const Value& root) {
-        const std::size_t before = problems_.size();
+    std::shared_ptr<const Description> load(const Value& root) {
+        const std::size_t problems_before = problems_.size();
         root_ = &root;
         if (!root.is(Kind::mapping))
-            return problem(root, "document", "a mapping with 'openapi'"), nullptr;
-        const std::string version = scalar(root, "openapi", "");
+            return add_problem(root, "document", "a mapping with 'openapi'"), nullptr;
+        const std::string version = read_scalar(root, "openapi", "");
         if (!version.starts_with("3.0.") && !version.starts_with("3.1."))
-            problem(at(root, "openapi"), "openapi",
-                    fmt::format("a version 3.0.x or 3.1.x, not '{}'", version));
+            add_problem(member_or_parent(root, "openapi"), "openapi",
+                        fmt::format("a version 3.0.x or 3.1.x, not '{}'", version));
         if (const Value* info = root.find("info")) {
-            description_->title = scalar(*info, "title", "");
-            description_->version = scalar(*info, "version", "");
+            description_->title = read_scalar(*info, "title", "");
+            description_->version = read_scalar(*info, "version", "");
         }
-        read_schemes();
+        read_security_schemes();
         check_extensions(root, "");
-        const std::vector<std::string> bases = read_servers(root, {""}, "servers");
+        const std::vector<std::string> base_paths = read_servers(root, {""}, "servers");
         const Value* paths = root.find("paths");
         if (!paths || !paths->is(Kind::mapping)) {
             // 3.1 lets a description hold webhooks or components alone; a gateway then has nothing
             // to route.
-            problem(paths ? *paths : root, "paths", "a mapping of path to operations");
+            add_problem(paths ? *paths : root, "paths", "a mapping of path to operations");
         } else {
             for (const auto& [path, item] : paths->members)
-                if (!path.starts_with("x-")) read_path(path, item, bases);
+                if (!path.starts_with("x-")) read_path(path, item, base_paths);
         }
-        if (problems_.size() == before && description_->table.routes().empty())
-            problem(root, "paths", "at least one operation");
-        return problems_.size() == before ? description_ : nullptr;
+        if (problems_.size() == problems_before && description_->table.routes().empty())
+            add_problem(root, "paths", "at least one operation");
+        return problems_.size() == problems_before ? description_ : nullptr;
     }
 
   private:
-    static const Value& at(const Value& parent, std::string_view name) {
+    static const Value& member_or_parent(const Value& parent, std::string_view name) {
         const Value* value = parent.find(name);
         return value ? *value : parent;
     }
-    void problem(const Value& where, std::string field, std::string expected) {
+    void add_problem(const Value& where, std::string field, std::string expected) {
         problems_.push_back({file_, where.line, std::move(field), std::move(expected)});
     }
-    std::string scalar(const Value& parent, std::string_view name, std::string fallback) {
+    std::string read_scalar(const Value& parent, std::string_view name, std::string fallback) {
         const Value* value = parent.find(name);
         if (!value) return fallback;
         if (value->is(Kind::scalar)) return value->text;
-        problem(*value, std::string(name), "text");
+        add_problem(*value, std::string(name), "text");
         return fallback;
     }
 
     // Follows $ref within this file; nullptr and a problem where it leads nowhere, outside or round
     // in a circle.
-    const Value* resolve(const Value& value, const std::string& field) {
-        const Value* now = &value;
-        for (int steps = 0; steps < most_references; ++steps) {
-            const Value* ref = now->find("$ref");
-            if (!ref) return now;
-            if (!ref->is(Kind::scalar) || !ref->text.starts_with('#')) {
-                problem(*ref, field + ".$ref", "a reference within this file ('#/...')");
+    const Value* resolve_reference(const Value& value, const std::string& field) {
+        const Value* current = &value;
+        for (int steps = 0; steps < max_references; ++steps) {
+            const Value* reference = current->find("$ref");
+            if (!reference) return current;
+            if (!reference->is(Kind::scalar) || !reference->text.starts_with('#')) {
+                add_problem(*reference, field + ".$ref", "a reference within this file ('#/...')");
                 return nullptr;
             }
-            const Value* target = pointer(std::string_view(ref->text).substr(1));
+            const Value* target = resolve_pointer(std::string_view(reference->text).substr(1));
             if (!target) {
-                problem(*ref, field + ".$ref",
-                        fmt::format("a place in this file, '{}' is none", ref->text));
+                add_problem(*reference, field + ".$ref",
+                            fmt::format("a place in this file, '{}' is none", reference->text));
                 return nullptr;
             }
-            now = target;
+            current = target;
         }
-        problem(value, field + ".$ref", "a reference that ends; this one goes round in a circle");
+        add_problem(value, field + ".$ref",
+                    "a reference that ends; this one goes round in a circle");
         return nullptr;
     }
     // RFC 6901.
-    const Value* pointer(std::string_view path) const {
-        const Value* now = root_;
-        while (!path.empty() && now) {
+    const Value* resolve_pointer(std::string_view path) const {
+        const Value* current = root_;
+        while (!path.empty() && current) {
             if (path.front() != '/') return nullptr;
             path.remove_prefix(1);
             const std::size_t end = std::min(path.find('/'), path.size());
-            std::string token = decode_pointer(path.substr(0, end));
+            std::string token = decode_pointer_token(path.substr(0, end));
             path.remove_prefix(end);
-            if (now->is(Kind::sequence)) {
-                const bool digits = !token.empty() && token.size() < 9 &&
-                                    std::all_of(token.begin(), token.end(),
-                                                [](char c) { return c >= '0' && c <= '9'; });
-                const std::size_t i = digits ? std::stoul(token) : now->items.size();
-                now = i < now->items.size() ? &now->items[i] : nullptr;
+            if (current->is(Kind::sequence)) {
+                const bool is_index = !token.empty() && token.size() < 9 &&
+                                      std::all_of(token.begin(), token.end(), [](char character) {
+                                          return character >= '0' && character <= '9';
+                                      });
+                const std::size_t index = is_index ? std::stoul(token) : current->items.size();
+                current = index < current->items.size() ? &current->items[index] : nullptr;
             } else {
-                now = now->find(token);
+                current = current->find(token);
             }
         }
-        return now;
+        return current;
     }
-    static std::string decode_pointer(std::string_view token) {
-        std::string out;
+    static std::string decode_pointer_token(std::string_view token) {
+        std::string decoded;
         for (std::size_t i = 0; i < token.size(); ++i) {
             if (token[i] == '~' && i + 1 < token.size() &&
                 (token[i + 1] == '0' || token[i + 1] == '1'))
-                out.push_back(token[++i] == '0' ? '~' : '/');
+                decoded.push_back(token[++i] == '0' ? '~' : '/');
             else if (token[i] == '%' && i + 2 < token.size()) {
-                const auto decoded = decode_segment(token.substr(i, 3));
-                out += decoded                                                        ? *decoded
-                       : (token.substr(i, 3) == "%2F" || token.substr(i, 3) == "%2f") ? "/"
-                                                                                      : "";
+                const auto unescaped = decode_segment(token.substr(i, 3));
+                decoded += unescaped ? *unescaped
+                           : (token.substr(i, 3) == "%2F" || token.substr(i, 3) == "%2f") ? "/"
+                                                                                          : "";
                 i += 2;
             } else
-                out.push_back(token[i]);
+                decoded.push_back(token[i]);
         }
-        return out;
+        return decoded;
     }
 
     // ---- servers
@@ -141,26 +143,27 @@
                                           const std::string& field) {
         const Value* servers = owner.find("servers");
         if (!servers) return inherited;
-        if (!servers->is(Kind::sequence)) return problem(*servers, field, "a list"), inherited;
-        std::vector<std::string> bases;
+        if (!servers->is(Kind::sequence)) return add_problem(*servers, field, "a list"), inherited;
+        std::vector<std::string> base_paths;
         for (const Value& server : servers->items) {
             const Value* url = server.find("url");
             if (!url || !url->is(Kind::scalar)) {
-                problem(server, field + "[].url", "the server's URL");
+                add_problem(server, field + "[].url", "the server's URL");
                 continue;
             }
-            for (std::string& base : expand(server, url->text, field)) {
-                strip_authority(base);
-                const bool plain = base.empty() || check_path(base) == PathFault::none;
-                if (!plain || base.find_first_of("{}?#") != std::string::npos)
-                    problem(*url, field + "[].url",
-                            fmt::format("a URL whose path is plain, not '{}'", base));
-                else if (std::find(bases.begin(), bases.end(), base) == bases.end())
-                    bases.push_back(base);
+            for (std::string& base_path : expand_variables(server, url->text, field)) {
+                strip_authority(base_path);
+                const bool is_plain = base_path.empty() || check_path(base_path) == PathFault::none;
+                if (!is_plain || base_path.find_first_of("{}?#") != std::string::npos)
+                    add_problem(*url, field + "[].url",
+                                fmt::format("a URL whose path is plain, not '{}'", base_path));
+                else if (std::find(base_paths.begin(), base_paths.end(), base_path) ==
+                         base_paths.end())
+                    base_paths.push_back(base_path);
             }
         }
-        if (bases.empty()) bases.emplace_back("");  // an empty list counts as [{url: /}]
-        return bases;
+        if (base_paths.empty()) base_paths.emplace_back("");  // an empty list counts as [{url: /}]
+        return base_paths;
     }
     static void strip_authority(std::string& url) {
         if (const std::size_t scheme = url.find("://"); scheme != std::string::npos) {
@@ -172,51 +175,55 @@
         if (!url.empty() && url.front() != '/') url.insert(0, "/");
     }
     // A URL for each value that its variables can take: `enum` where given, else the default.
-    std::vector<std::string> expand(const Value& server, const std::string& url,
-                                    const std::string& field) {
+    std::vector<std::string> expand_variables(const Value& server, const std::string& url,
+                                              const std::string& field) {
         std::vector<std::string> urls{url};
-        std::size_t from = 0;
+        std::size_t search_start = 0;
         while (true) {
-            const std::size_t open = urls.front().find('{', from);
-            if (open == std::string::npos) return urls;
-            const std::size_t close = urls.front().find('}', open);
-            if (close == std::string::npos)
-                return problem(server, field + "[].url", "a '}' for each '{'"), urls;
-            const std::string braces = urls.front().substr(open, close - open + 1);
-            const std::string name = braces.substr(1, braces.size() - 2);
+            const std::size_t open_brace = urls.front().find('{', search_start);
+            if (open_brace == std::string::npos) return urls;
+            const std::size_t close_brace = urls.front().find('}', open_brace);
+            if (close_brace == std::string::npos)
+                return add_problem(server, field + "[].url", "a '}' for each '{'"), urls;
+            const std::string placeholder =
+                urls.front().substr(open_brace, close_brace - open_brace + 1);
+            const std::string name = placeholder.substr(1, placeholder.size() - 2);
             const Value* variables = server.find("variables");
             const Value* variable = variables ? variables->find(name) : nullptr;
             std::vector<std::string> values;
-            if (const Value* list = variable ? variable->find("enum") : nullptr)
-                for (const Value& item : list->items)
+            if (const Value* enum_values = variable ? variable->find("enum") : nullptr)
+                for (const Value& item : enum_values->items)
                     values.push_back(item.text);
-            else if (const Value* fallback = variable ? variable->find("default") : nullptr)
-                values.push_back(fallback->text);
+            else if (const Value* default_value = variable ? variable->find("default") : nullptr)
+                values.push_back(default_value->text);
             if (values.empty()) {
-                problem(server, fmt::format("{}[].variables.{}", field, name),
-                        "a default or an enum");
+                add_problem(server, fmt::format("{}[].variables.{}", field, name),
+                            "a default or an enum");
                 values.emplace_back("x");
             }
-            std::vector<std::string> next;
-            for (const std::string& base : urls)
+            std::vector<std::string> expanded;
+            for (const std::string& partial_url : urls)
                 for (const std::string& value : values) {
-                    std::string text = base;
-                    for (std::size_t i = text.find(braces); i != std::string::npos;
-                         i = text.find(braces, i))
-                        text.replace(i, braces.size(), value), i += value.size();
-                    next.push_back(std::move(text));
+                    std::string url_text = partial_url;
+                    for (std::size_t position = url_text.find(placeholder);
+                         position != std::string::npos;
+                         position = url_text.find(placeholder, position))
+                        url_text.replace(position, placeholder.size(), value),
+                            position += value.size();
+                    expanded.push_back(std::move(url_text));
                 }
-            if (next.size() > most_bases) {
-                problem(server, field,
-                        fmt::format("{} URLs at most from its variables", most_bases));
+            if (expanded.size() > max_base_paths) {
+                add_problem(server, field,
+                            fmt::format("{} URLs at most from its variables", max_base_paths));
                 return {""};
             }
-            urls = std::move(next);
-            from = 0;
-            if (std::any_of(values.begin(), values.end(),
-                            [](const std::string& v) { return v.find('{') != std::string::npos; }))
-                return problem(server, fmt::format("{}[].variables.{}", field, name),
-                               "values without braces"),
+            urls = std::move(expanded);
+            search_start = 0;
+            if (std::any_of(values.begin(), values.end(), [](const std::string& value) {
+                    return value.find('{') != std::string::npos;
+                }))
+                return add_problem(server, fmt::format("{}[].variables.{}", field, name),
+                                   "values without braces"),
                        urls;
         }
     }
@@ -224,19 +231,19 @@
     // ---- security
     // ----------------------------------------------------------------------------------------
 
-    void read_schemes() {
+    void read_security_schemes() {
         const Value* components = root_->find("components");
         const Value* schemes = components ? components->find("securitySchemes") : nullptr;
         if (!schemes) return;
-        for (const auto& [name, raw] : schemes->members) {
+        for (const auto& [name, scheme_or_reference] : schemes->members) {
             const std::string field = "components.securitySchemes." + name;
-            const Value* scheme = resolve(raw, field);
+            const Value* scheme = resolve_reference(scheme_or_reference, field);
             if (!scheme) continue;
-            const std::string type = scalar(*scheme, "type", "");
+            const std::string type = read_scalar(*scheme, "type", "");
             Carrier carrier;
             if (type == "apiKey") {
-                const std::string in = scalar(*scheme, "in", "");
-                carrier.name = scalar(*scheme, "name", "");
+                const std::string in = read_scalar(*scheme, "in", "");
+                carrier.name = read_scalar(*scheme, "name", "");
                 if (in == "header")
                     carrier.place = Place::header;
                 else if (in == "query")
@@ -244,21 +251,22 @@
                 else if (in == "cookie")
                     carrier.place = Place::cookie;
                 else
-                    problem(at(*scheme, "in"), field + ".in", "header, query or cookie");
+                    add_problem(member_or_parent(*scheme, "in"), field + ".in",
+                                "header, query or cookie");
                 if (carrier.name.empty())
-                    problem(*scheme, field + ".name", "the name that carries the key");
+                    add_problem(*scheme, field + ".name", "the name that carries the key");
                 schemes_[name] = carrier;
             } else if (type == "http") {
-                std::string how = scalar(*scheme, "scheme", "");
-                std::transform(how.begin(), how.end(), how.begin(),
+                std::string http_scheme = read_scalar(*scheme, "scheme", "");
+                std::transform(http_scheme.begin(), http_scheme.end(), http_scheme.begin(),
                                [](unsigned char c) { return std::tolower(c); });
                 carrier.name = "Authorization", carrier.bearer = true;
-                schemes_[name] = how == "bearer" ? std::optional(carrier) : std::nullopt;
+                schemes_[name] = http_scheme == "bearer" ? std::optional(carrier) : std::nullopt;
             } else if (type == "oauth2" || type == "openIdConnect" || type == "mutualTLS") {
                 schemes_[name] = std::nullopt;
             } else {
-                problem(at(*scheme, "type"), field + ".type",
-                        "apiKey, http, mutualTLS, oauth2 or openIdConnect");
+                add_problem(member_or_parent(*scheme, "type"), field + ".type",
+                            "apiKey, http, mutualTLS, oauth2 or openIdConnect");
             }
         }
     }
@@ -267,26 +275,27 @@
         const Value* security = operation.find("security");
         if (!security) security = root_->find("security");
         if (!security) return;
-        if (!security->is(Kind::sequence)) return problem(*security, field + ".security", "a list");
+        if (!security->is(Kind::sequence))
+            return add_problem(*security, field + ".security", "a list");
         route.anonymous = security->items.empty();
         for (const Value& alternative : security->items) {
             if (alternative.members.empty()) route.anonymous = true;
-            std::optional<Carrier> usable;
+            std::optional<Carrier> key_carrier;
             for (const auto& [name, scopes] : alternative.members) {
-                const auto it = schemes_.find(name);
-                if (it == schemes_.end())
-                    problem(scopes, fmt::format("{}.security.{}", field, name),
-                            "a name of components.securitySchemes");
-                else if (it->second && !usable)
-                    usable = it->second;
+                const auto scheme = schemes_.find(name);
+                if (scheme == schemes_.end())
+                    add_problem(scopes, fmt::format("{}.security.{}", field, name),
+                                "a name of components.securitySchemes");
+                else if (scheme->second && !key_carrier)
+                    key_carrier = scheme->second;
             }
-            if (usable &&
-                std::find(route.keys.begin(), route.keys.end(), *usable) == route.keys.end())
-                route.keys.push_back(*usable);
+            if (key_carrier &&
+                std::find(route.keys.begin(), route.keys.end(), *key_carrier) == route.keys.end())
+                route.keys.push_back(*key_carrier);
         }
         if (!route.anonymous && route.keys.empty())
-            problem(*security, field + ".security",
-                    "an apiKey or http bearer scheme among the alternatives");
+            add_problem(*security, field + ".security",
+                        "an apiKey or http bearer scheme among the alternatives");
     }
 
     // ---- operations
@@ -301,216 +310,230 @@
     void read_parameters(const Value& owner, Parameters& into, const std::string& field) {
         const Value* list = owner.find("parameters");
         if (!list) return;
-        if (!list->is(Kind::sequence)) return problem(*list, field + ".parameters", "a list");
-        for (const Value& raw : list->items) {
-            const Value* parameter = resolve(raw, field + ".parameters[]");
+        if (!list->is(Kind::sequence)) return add_problem(*list, field + ".parameters", "a list");
+        for (const Value& parameter_or_reference : list->items) {
+            const Value* parameter =
+                resolve_reference(parameter_or_reference, field + ".parameters[]");
             if (!parameter) continue;
-            const std::string name = scalar(*parameter, "name", ""),
-                              in = scalar(*parameter, "in", "");
-            static const std::map<std::string, Place> places = {{"header", Place::header},
-                                                                {"query", Place::query},
-                                                                {"cookie", Place::cookie},
-                                                                {"path", Place::path}};
-            const auto place = places.find(in);
-            if (name.empty() || place == places.end()) {
-                problem(*parameter, field + ".parameters[]",
-                        "a name, and in: header, query, cookie or path");
+            const std::string name = read_scalar(*parameter, "name", ""),
+                              in = read_scalar(*parameter, "in", "");
+            static const std::map<std::string, Place> locations = {{"header", Place::header},
+                                                                   {"query", Place::query},
+                                                                   {"cookie", Place::cookie},
+                                                                   {"path", Place::path}};
+            const auto location = locations.find(in);
+            if (name.empty() || location == locations.end()) {
+                add_problem(*parameter, field + ".parameters[]",
+                            "a name, and in: header, query, cookie or path");
                 continue;
             }
-            Parameter p{{place->second, name, false}, false};
+            Parameter entry{{location->second, name, false}, false};
             if (const Value* required = parameter->find("required");
-                required && !required->as(p.required))
-                problem(*required, field + ".parameters[].required", "true or false");
-            into[{in, lower_if_header(in, name)}] = p;
+                required && !required->as(entry.required))
+                add_problem(*required, field + ".parameters[].required", "true or false");
+            into[{in, lowercase_if_header(in, name)}] = entry;
         }
     }
-    static std::string lower_if_header(const std::string& in, std::string name) {
+    static std::string lowercase_if_header(const std::string& in, std::string name) {
         if (in == "header")
             std::transform(name.begin(), name.end(), name.begin(),
                            [](unsigned char c) { return std::tolower(c); });
         return name;
     }
 
-    void read_path(const std::string& path, const Value& raw,
-                   const std::vector<std::string>& bases) {
-        const Value* item = resolve(raw, path);
+    void read_path(const std::string& path, const Value& item_or_reference,
+                   const std::vector<std::string>& base_paths) {
+        const Value* item = resolve_reference(item_or_reference, path);
         if (!item) return;
-        if (!item->is(Kind::mapping)) return problem(raw, path, "a mapping of method to operation");
-        std::vector<std::string> names;
-        if (!check_template(path, raw, names)) return;
+        if (!item->is(Kind::mapping))
+            return add_problem(item_or_reference, path, "a mapping of method to operation");
+        std::vector<std::string> template_names;
+        if (!check_template(path, item_or_reference, template_names)) return;
         check_extensions(*item, path);
-        Parameters shared;
-        read_parameters(*item, shared, path);
-        const std::vector<std::string> path_bases = read_servers(*item, bases, path + ".servers");
+        Parameters path_parameters;
+        read_parameters(*item, path_parameters, path);
+        const std::vector<std::string> path_base_paths =
+            read_servers(*item, base_paths, path + ".servers");
         for (std::size_t i = 0; i < method_names.size(); ++i) {
-            std::string key(method_names[i]);
-            std::transform(key.begin(), key.end(), key.begin(),
+            std::string member_name(method_names[i]);
+            std::transform(member_name.begin(), member_name.end(), member_name.begin(),
                            [](unsigned char c) { return std::tolower(c); });
-            const Value* operation = item->find(key);
+            const Value* operation = item->find(member_name);
             if (!operation) continue;
             const std::string field = fmt::format("{} {}", method_names[i], path);
             if (!operation->is(Kind::mapping)) {
-                problem(*operation, field, "an operation");
+                add_problem(*operation, field, "an operation");
                 continue;
             }
-            Parameters parameters = shared;
+            Parameters parameters = path_parameters;
             read_parameters(*operation, parameters, field);
-            for (const std::string& name : names)
-                if (!parameters.contains({"path", name}))
-                    problem(*operation, field,
-                            fmt::format("a path parameter '{}' among its parameters", name));
+            for (const std::string& template_name : template_names)
+                if (!parameters.contains({"path", template_name}))
+                    add_problem(
+                        *operation, field,
+                        fmt::format("a path parameter '{}' among its parameters", template_name));
             read_operation(static_cast<Method>(i), path, *item, *operation, parameters,
-                           read_servers(*operation, path_bases, field + ".servers"), field);
+                           read_servers(*operation, path_base_paths, field + ".servers"), field);
         }
     }
 
     bool check_template(const std::string& path, const Value& where,
-                        std::vector<std::string>& names) {
+                        std::vector<std::string>& template_names) {
         if (path.empty() || path.front() != '/')
-            return problem(where, path, "a path that starts with '/'"), false;
-        std::size_t open = std::string::npos;
+            return add_problem(where, path, "a path that starts with '/'"), false;
+        std::size_t open_brace = std::string::npos;
         std::size_t after_close = std::string::npos;
         for (std::size_t i = 0; i < path.size(); ++i) {
-            const bool inside = open != std::string::npos;
+            const bool is_inside = open_brace != std::string::npos;
             if (path[i] == '{') {
-                if (inside || after_close == i)
-                    return problem(where, path, "names in braces with text between them"), false;
-                open = i;
+                if (is_inside || after_close == i)
+                    return add_problem(where, path, "names in braces with text between them"),
+                           false;
+                open_brace = i;
             } else if (path[i] == '}') {
-                if (!inside || open + 1 == i)
-                    return problem(where, path, "a name in each pair of braces"), false;
-                names.push_back(path.substr(open + 1, i - open - 1));
-                open = std::string::npos, after_close = i + 1;
-            } else if (path[i] == '/' && inside) {
-                return problem(where, path, "braces that close within their segment"), false;
+                if (!is_inside || open_brace + 1 == i)
+                    return add_problem(where, path, "a name in each pair of braces"), false;
+                template_names.push_back(path.substr(open_brace + 1, i - open_brace - 1));
+                open_brace = std::string::npos, after_close = i + 1;
+            } else if (path[i] == '/' && is_inside) {
+                return add_problem(where, path, "braces that close within their segment"), false;
             }
         }
-        if (open != std::string::npos) return problem(where, path, "a '}' for each '{'"), false;
+        if (open_brace != std::string::npos)
+            return add_problem(where, path, "a '}' for each '{'"), false;
         if (path.find_first_of("?#") != std::string::npos)
-            return problem(where, path, "a path without query or fragment"), false;
-        std::vector<std::string> sorted = names;
-        std::sort(sorted.begin(), sorted.end());
-        if (std::adjacent_find(sorted.begin(), sorted.end()) != sorted.end())
-            return problem(where, path, "each name once in a path"), false;
+            return add_problem(where, path, "a path without query or fragment"), false;
+        std::vector<std::string> sorted_names = template_names;
+        std::sort(sorted_names.begin(), sorted_names.end());
+        if (std::adjacent_find(sorted_names.begin(), sorted_names.end()) != sorted_names.end())
+            return add_problem(where, path, "each name once in a path"), false;
         return true;
     }
 
     void check_extensions(const Value& owner, const std::string& field) {
         for (const auto& [name, value] : owner.members)
-            if (name.starts_with(extension) && name != "x-silverreach-class" &&
+            if (name.starts_with(extension_prefix) && name != "x-silverreach-class" &&
                 name != "x-silverreach-units" && name != "x-silverreach-units-from" &&
                 name != "x-silverreach-effect")
-                problem(value, field.empty() ? name : fmt::format("{}.{}", field, name),
-                        "x-silverreach-class, -units, -units-from or -effect");
+                add_problem(value, field.empty() ? name : fmt::format("{}.{}", field, name),
+                            "x-silverreach-class, -units, -units-from or -effect");
     }
-    Found nearest(std::string_view name, const Value& operation, const Value& item) const {
-        const std::string full = std::string(extension) + std::string(name);
-        if (const Value* value = operation.find(full)) return {value, "operation"};
-        if (const Value* value = item.find(full)) return {value, "path"};
-        if (const Value* value = root_->find(full)) return {value, "root"};
+    ExtensionValue nearest_extension(std::string_view name, const Value& operation,
+                                     const Value& item) const {
+        const std::string full_name = std::string(extension_prefix) + std::string(name);
+        if (const Value* value = operation.find(full_name)) return {value, "operation"};
+        if (const Value* value = item.find(full_name)) return {value, "path"};
+        if (const Value* value = root_->find(full_name)) return {value, "root"};
         return {};
     }
-    static std::string origin(const Found& found) {
+    static std::string origin_text(const ExtensionValue& found) {
         return fmt::format("{}:{}", found.level, found.value->line);
     }
 
     void read_operation(Method method, const std::string& path, const Value& item,
                         const Value& operation, const Parameters& parameters,
-                        const std::vector<std::string>& bases, const std::string& field) {
+                        const std::vector<std::string>& base_paths, const std::string& field) {
         Route route;
         route.method = method, route.line = operation.line;
-        route.operation = scalar(operation, "operationId", "");
+        route.operation_id = read_scalar(operation, "operationId", "");
         check_extensions(operation, field);
         read_class(route, operation, item, field);
         read_units(route, operation, item, parameters, field);
-        read_effect(route, operation, item, parameters, field);
+        read_idempotency(route, operation, item, parameters, field);
         read_security(operation, route, field);
-        for (const std::string& base : bases) {
-            Route placed = route;
-            placed.path = base + path;
-            if (const Route* same = description_->table.add(std::move(placed)))
-                problem(operation, field,
-                        fmt::format("another path; the same one stands at line {} as {}",
-                                    same->line, same->path));
+        for (const std::string& base_path : base_paths) {
+            Route route_at_base = route;
+            route_at_base.path = base_path + path;
+            if (const Route* existing = description_->table.add(std::move(route_at_base)))
+                add_problem(operation, field,
+                            fmt::format("another path; the same one stands at line {} as {}",
+                                        existing->line, existing->path));
         }
     }
 
     void read_class(Route& route, const Value& operation, const Value& item,
                     const std::string& field) {
-        const Found found = nearest("class", operation, item);
-        if (!found.value) {
+        const ExtensionValue extension = nearest_extension("class", operation, item);
+        if (!extension.value) {
             if (policy_.reject_unpriced)
-                return problem(operation, field,
-                               "a class (x-silverreach-class here, on the path or the root)");
+                return add_problem(operation, field,
+                                   "a class (x-silverreach-class here, on the path or the root)");
             route.request_class = policy_.default_class, route.class_origin = "policy";
             return;
         }
-        route.request_class = found.value->text, route.class_origin = origin(found);
-        if (!found.value->is(Kind::scalar) || route.request_class.empty())
-            problem(*found.value, field + " x-silverreach-class", "a class name");
+        route.request_class = extension.value->text, route.class_origin = origin_text(extension);
+        if (!extension.value->is(Kind::scalar) || route.request_class.empty())
+            add_problem(*extension.value, field + " x-silverreach-class", "a class name");
         else if (!policy_.classes.empty() && !policy_.classes.contains(route.request_class))
-            problem(*found.value, field + " x-silverreach-class",
-                    fmt::format("one of {}, not '{}'", fmt::join(policy_.classes, ", "),
-                                route.request_class));
+            add_problem(*extension.value, field + " x-silverreach-class",
+                        fmt::format("one of {}, not '{}'", fmt::join(policy_.classes, ", "),
+                                    route.request_class));
     }
 
     void read_units(Route& route, const Value& operation, const Value& item,
                     const Parameters& parameters, const std::string& field) {
-        const Found fixed = nearest("units", operation, item);
-        const Found from = nearest("units-from", operation, item);
-        if (fixed.value) {
-            route.units_origin = origin(fixed);
-            if (!fixed.value->as(route.units) || route.units < 0 ||
+        const ExtensionValue units = nearest_extension("units", operation, item);
+        const ExtensionValue units_from = nearest_extension("units-from", operation, item);
+        if (units.value) {
+            route.units_origin = origin_text(units);
+            if (!units.value->as(route.units) || route.units < 0 ||
                 route.units > policy_.most_units)
-                problem(*fixed.value, field + " x-silverreach-units",
-                        fmt::format("a number from 0 to {}", policy_.most_units));
+                add_problem(*units.value, field + " x-silverreach-units",
+                            fmt::format("a number from 0 to {}", policy_.most_units));
         } else if (policy_.reject_unpriced) {
-            problem(operation, field, "a cost (x-silverreach-units here, on the path or the root)");
+            add_problem(operation, field,
+                        "a cost (x-silverreach-units here, on the path or the root)");
         } else {
             route.units = policy_.default_units, route.units_origin = "policy";
         }
-        if (!from.value) return;
-        const Value* in = from.value->find("in");
-        const Value* name = from.value->find("name");
-        const std::string place = in ? in->text : "";
-        if (!name || (place != "header" && place != "query" && place != "path"))
-            return problem(*from.value, field + " x-silverreach-units-from",
-                           "{in: header|query|path, name: NAME}");
-        const auto it = parameters.find({place, lower_if_header(place, name->text)});
-        if (it == parameters.end())
-            return problem(
-                *from.value, field + " x-silverreach-units-from",
-                fmt::format("a {} parameter '{}' that the operation declares", place, name->text));
-        route.units_from = it->second.carrier;
-        route.units_origin += fmt::format("; {} {} {}", place, name->text, origin(from));
+        if (!units_from.value) return;
+        const Value* in = units_from.value->find("in");
+        const Value* name = units_from.value->find("name");
+        const std::string location = in ? in->text : "";
+        if (!name || (location != "header" && location != "query" && location != "path"))
+            return add_problem(*units_from.value, field + " x-silverreach-units-from",
+                               "{in: header|query|path, name: NAME}");
+        const auto parameter =
+            parameters.find({location, lowercase_if_header(location, name->text)});
+        if (parameter == parameters.end())
+            return add_problem(*units_from.value, field + " x-silverreach-units-from",
+                               fmt::format("a {} parameter '{}' that the operation declares",
+                                           location, name->text));
+        route.units_from = parameter->second.carrier;
+        route.units_origin +=
+            fmt::format("; {} {} {}", location, name->text, origin_text(units_from));
     }
 
     // RFC 9110: safe methods and idempotent ones may be repeated; with a key the hosts drop
     // repeats; the rest must not run twice.
-    void read_effect(Route& route, const Value& operation, const Value& item,
-                     const Parameters& parameters, const std::string& field) {
-        const auto key = parameters.find({"header", "idempotency-key"});
-        const bool has_key = key != parameters.end();
-        route.key_required = has_key && key->second.required;
-        const bool repeatable = route.method != Method::post && route.method != Method::patch;
-        route.effect = repeatable ? Idempotency::idempotent
-                       : has_key  ? Idempotency::idempotency_key
-                                  : Idempotency::non_idempotent;
-        route.effect_origin = repeatable ? "method" : has_key ? "Idempotency-Key" : "method";
-        const Found found = nearest("effect", operation, item);
-        if (!found.value) return;
-        route.effect_origin = origin(found);
-        if (found.value->text == "safe")
+    void read_idempotency(Route& route, const Value& operation, const Value& item,
+                          const Parameters& parameters, const std::string& field) {
+        const auto key_parameter = parameters.find({"header", "idempotency-key"});
+        const bool has_key = key_parameter != parameters.end();
+        route.key_required = has_key && key_parameter->second.required;
+        const bool is_idempotent_method =
+            route.method != Method::post && route.method != Method::patch;
+        route.effect = is_idempotent_method ? Idempotency::idempotent
+                       : has_key            ? Idempotency::idempotency_key
+                                            : Idempotency::non_idempotent;
+        route.effect_origin = is_idempotent_method ? "method"
+                              : has_key            ? "Idempotency-Key"
+                                                   : "method";
+        const ExtensionValue extension = nearest_extension("effect", operation, item);
+        if (!extension.value) return;
+        route.effect_origin = origin_text(extension);
+        if (extension.value->text == "safe")
             route.effect = Idempotency::idempotent;
-        else if (found.value->text == "unsafe")
+        else if (extension.value->text == "unsafe")
             route.effect = Idempotency::non_idempotent;
-        else if (found.value->text == "keyed" && has_key)
+        else if (extension.value->text == "keyed" && has_key)
             route.effect = Idempotency::idempotency_key;
-        else if (found.value->text == "keyed")
-            problem(*found.value, field + " x-silverreach-effect",
-                    "a header parameter Idempotency-Key beside 'keyed'; hosts drop repeats by it");
+        else if (extension.value->text == "keyed")
+            add_problem(
+                *extension.value, field + " x-silverreach-effect",
+                "a header parameter Idempotency-Key beside 'keyed'; hosts drop repeats by it");
         else
-            problem(*found.value, field + " x-silverreach-effect", "safe, keyed or unsafe");
+            add_problem(*extension.value, field + " x-silverreach-effect", "safe, keyed or unsafe");
     }
 
     const std::string& file_;
@@ -522,13 +545,14 @@
         schemes_;  // nothing: known, but no key to be read from it
 };
 
-std::string carriers_text(const Route& route) {
-    std::string out;
-    for (const Carrier& c : route.keys)
-        out += (out.empty() ? "" : ", ") +
-               (c.bearer ? "bearer" : fmt::format("{} {}", to_string(c.place), c.name));
-    if (route.anonymous) out += out.empty() ? "none" : ", or none";
-    return out;
+std::string format_key_carriers(const Route& route) {
+    std::string text;
+    for (const Carrier& carrier : route.keys)
+        text += (text.empty() ? "" : ", ") +
+                (carrier.bearer ? "bearer"
+                                : fmt::format("{} {}", to_string(carrier.place), carrier.name));
+    if (route.anonymous) text += text.empty() ? "none" : ", or none";
+    return text;
 }
 }  // namespace
 
@@ -536,31 +560,32 @@
                                         const Policy& policy, std::vector<Problem>& problems) {
     Value root;
     if (!parse(text, file, root, problems)) return nullptr;
-    return Loader(file, policy, problems).run(root);
+    return Loader(file, policy, problems).load(root);
 }
 
 std::string table_text(const Description& description) {
-    constexpr std::array<std::string_view, 3> effects = {"safe", "keyed", "unsafe"};
+    constexpr std::array<std::string_view, 3> effect_names = {"safe", "keyed", "unsafe"};
     std::vector<std::array<std::string, 7>> rows = {
         {"METHOD", "PATH", "CLASS", "UNITS", "EFFECT", "KEY", "FROM"}};
-    for (const auto& r : description.table.routes())
-        rows.push_back({std::string(method_names[static_cast<std::size_t>(r->method)]), r->path,
-                        r->request_class, fmt::format("{:g}{}", r->units, r->units_from ? "*" : ""),
-                        std::string(effects[static_cast<std::size_t>(r->effect)]),
-                        carriers_text(*r),
-                        fmt::format("class {}, units {}, effect {}", r->class_origin,
-                                    r->units_origin, r->effect_origin)});
+    for (const auto& route : description.table.routes())
+        rows.push_back({std::string(method_names[static_cast<std::size_t>(route->method)]),
+                        route->path, route->request_class,
+                        fmt::format("{:g}{}", route->units, route->units_from ? "*" : ""),
+                        std::string(effect_names[static_cast<std::size_t>(route->effect)]),
+                        format_key_carriers(*route),
+                        fmt::format("class {}, units {}, effect {}", route->class_origin,
+                                    route->units_origin, route->effect_origin)});
     std::array<std::size_t, 7> widths{};
     for (const auto& row : rows)
         for (std::size_t i = 0; i < row.size(); ++i)
             widths[i] = std::max(widths[i], row[i].size());
-    std::string out;
+    std::string text;
     for (const auto& row : rows) {
         for (std::size_t i = 0; i < row.size(); ++i)
-            out += i + 1 < row.size() ? fmt::format("{:<{}}  ", row[i], widths[i]) : row[i];
-        out += '\n';
+            text += i + 1 < row.size() ? fmt::format("{:<{}}  ", row[i], widths[i]) : row[i];
+        text += '\n';
     }
-    return out;
+    return text;
 }
 
 }  // namespace silverreach::openapi
--- a/src/openapi/document.cpp
+++ b/src/openapi/document.cpp
@@ -11,26 +11,26 @@
 
 namespace silverreach::openapi {
 namespace {
-constexpr int deepest = 64;
-constexpr std::size_t most_values = 2'000'000, large = 16;
+constexpr int max_depth = 64;
+constexpr std::size_t max_values = 2'000'000, max_unindexed_members = 16;
 
 struct Converter {
     const std::string& file;
     std::vector<Problem>& problems;
-    std::size_t values = 0;
-    bool whole = true;
+    std::size_t value_count = 0;
+    bool valid = true;
 
     bool fail(int line, std::string field, std::string expected) {
         problems.push_back({file, line, std::move(field), std::move(expected)});
-        return whole = false;
+        return valid = false;
     }
     bool convert(const YAML::Node& node, Value& into, int depth) {
         into.line = node.Mark().line + 1;
-        if (depth > deepest)
-            return fail(into.line, "document", fmt::format("nesting of {} at most", deepest));
-        if (++values > most_values)
+        if (depth > max_depth)
+            return fail(into.line, "document", fmt::format("nesting of {} at most", max_depth));
+        if (++value_count > max_values)
             return fail(into.line, "document",
-                        fmt::format("{} values at most, aliases included", most_values));
+                        fmt::format("{} values at most, aliases included", max_values));
         switch (node.Type()) {
             case YAML::NodeType::Scalar:
                 into.kind = Value::Kind::scalar;
@@ -41,64 +41,66 @@
                 into.kind = Value::Kind::sequence;
                 into.items.resize(node.size());
                 for (std::size_t i = 0; const auto& item : node)
-                    if (!convert(item, into.items[i++], depth + 1) && values > most_values)
+                    if (!convert(item, into.items[i++], depth + 1) && value_count > max_values)
                         return false;
-                return whole;
+                return valid;
             case YAML::NodeType::Map:
-                return members(node, into, depth);
+                return convert_members(node, into, depth);
             default:
                 return true;
         }
     }
-    bool members(const YAML::Node& node, Value& into, int depth) {
+    bool convert_members(const YAML::Node& node, Value& into, int depth) {
         into.kind = Value::Kind::mapping;
         into.members.reserve(node.size());
-        std::unordered_set<std::string> names;
+        std::unordered_set<std::string> seen_names;
         for (const auto& member : node) {
             const int line = member.first.Mark().line + 1;
             if (!member.first.IsScalar()) {
                 fail(line, "mapping", "a name, not a list or mapping, before the colon");
                 continue;
             }
-            const std::string& name = member.first.Scalar();
-            if (!names.insert(name).second) {
-                fail(line, name, "each name once in a mapping");
+            const std::string& key = member.first.Scalar();
+            if (!seen_names.insert(key).second) {
+                fail(line, key, "each name once in a mapping");
                 continue;
             }
-            into.members.emplace_back(name, Value());
+            into.members.emplace_back(key, Value());
             Value& value = into.members.back().second;
             convert(member.second, value, depth + 1);
             value.line = line;  // where the name stands is where a reader looks
-            if (values > most_values) return false;
+            if (value_count > max_values) return false;
         }
-        return whole;
+        return valid;
     }
 };
 }  // namespace
 
-std::string to_string(const Problem& p) {
-    return p.line > 0 ? fmt::format("{}:{}: {}: expected {}", p.file, p.line, p.field, p.expected)
-                      : fmt::format("{}: {}: expected {}", p.file, p.field, p.expected);
+std::string to_string(const Problem& problem) {
+    return problem.line > 0
+               ? fmt::format("{}:{}: {}: expected {}", problem.file, problem.line, problem.field,
+                             problem.expected)
+               : fmt::format("{}: {}: expected {}", problem.file, problem.field, problem.expected);
 }
 
 const Value* Value::find(std::string_view name) const {
-    if (!places_.empty()) {
-        const auto it = places_.find(name);
-        return it == places_.end() ? nullptr : &members[it->second].second;
+    if (!member_indices_.empty()) {
+        const auto it = member_indices_.find(name);
+        return it == member_indices_.end() ? nullptr : &members[it->second].second;
     }
     for (const auto& [key, value] : members)
         if (key == name) return &value;
     return nullptr;
 }
 
-void Value::index() {
-    if (members.size() > large)
+void Value::build_index() {
+    if (members.size() > max_unindexed_members)
         for (std::size_t i = 0; i < members.size(); ++i)
-            places_.emplace(members[i].first, i);
+            member_indices_.emplace(members[i].first, i);
     for (Value& item : items)
-        item.index();
+        item.build_index();
     for (auto& [name, value] : members)
-        value.index();
+        value.build_index();
 }
 
 bool Value::as(bool& out) const {
@@ -109,8 +111,9 @@
 bool Value::as(double& out) const {
     if (kind != Kind::scalar || quoted) return false;
     double value = 0;
-    const auto read = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (read.ec != std::errc() || read.ptr != text.data() + text.size() || !std::isfinite(value))
+    const auto result = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (result.ec != std::errc() || result.ptr != text.data() + text.size() ||
+        !std::isfinite(value))
         return false;
     out = value;
     return true;
@@ -120,13 +123,15 @@
            std::vector<Problem>& problems) {
     // JSON is read by the YAML parser too, which knows lines; a JSON parser first refuses what only
     // YAML allows.
-    const std::size_t first = text.find_first_not_of(" \t\r\n");
-    if (first != std::string_view::npos && (text[first] == '{' || text[first] == '[')) {
+    const std::size_t first_character = text.find_first_not_of(" \t\r\n");
+    if (first_character != std::string_view::npos &&
+        (text[first_character] == '{' || text[first_character] == '[')) {
         try {
             [[maybe_unused]] const auto json = nlohmann::json::parse(text);
         } catch (const nlohmann::json::parse_error& error) {
-            const auto upto = text.substr(0, std::min(text.size(), error.byte));
-            const int line = 1 + static_cast<int>(std::count(upto.begin(), upto.end(), '\n'));
+            const auto before_error = text.substr(0, std::min(text.size(), error.byte));
+            const int line =
+                1 + static_cast<int>(std::count(before_error.begin(), before_error.end(), '\n'));
             problems.push_back(
                 {file, line, "document", fmt::format("valid JSON ({})", error.what())});
             return false;
@@ -141,9 +146,9 @@
             return false;
         }
         Converter converter{file, problems};
-        const bool whole = converter.convert(documents.front(), into, 0);
-        into.index();
-        return whole;
+        const bool valid = converter.convert(documents.front(), into, 0);
+        into.build_index();
+        return valid;
     } catch (const YAML::Exception& error) {
         problems.push_back(
             {file, error.mark.line + 1, "document", fmt::format("valid YAML ({})", error.msg)});
--- a/src/openapi/document.h
+++ b/src/openapi/document.h
@@ -36,14 +36,14 @@
 
     // The member of that name; nullptr where there is none or this is no mapping.
     const Value* find(std::string_view name) const;
-    bool is(Kind k) const { return kind == k; }
+    bool is(Kind expected) const { return kind == expected; }
     // A boolean or a finite number as YAML's core schema has them; false where it is none.
     bool as(bool& out) const;
     bool as(double& out) const;
-    void index();  // called once when the tree is whole
+    void build_index();  // called once when the tree is whole
 
   private:
-    std::unordered_map<std::string_view, std::size_t> places_;  // of large mappings only
+    std::unordered_map<std::string_view, std::size_t> member_indices_;  // of large mappings only
 };
 
 // Parses one document. Nothing and problems appended where it is malformed, holds a name twice,
--- a/src/openapi/route.cpp
+++ b/src/openapi/route.cpp
@@ -4,10 +4,10 @@
 
 namespace silverreach::openapi {
 namespace {
-int hex(char c) {
-    if (c >= '0' && c <= '9') return c - '0';
-    if (c >= 'a' && c <= 'f') return c - 'a' + 10;
-    if (c >= 'A' && c <= 'F') return c - 'A' + 10;
+int hex_digit_value(char digit) {
+    if (digit >= '0' && digit <= '9') return digit - '0';
+    if (digit >= 'a' && digit <= 'f') return digit - 'a' + 10;
+    if (digit >= 'A' && digit <= 'F') return digit - 'A' + 10;
     return -1;
 }
 struct ViewHash {
@@ -40,40 +40,42 @@
 struct RouteTable::Node {
     struct Pattern {
         std::vector<std::string> literals;  // one more than there are names
-        std::unique_ptr<Node> next;
-        std::size_t fixed() const {
-            std::size_t sum = 0;
-            for (const std::string& l : literals)
-                sum += l.size();
-            return sum;
+        std::unique_ptr<Node> child;
+        std::size_t literal_length() const {
+            std::size_t length = 0;
+            for (const std::string& literal : literals)
+                length += literal.size();
+            return length;
         }
         // The text between the literals, each value not empty; the leftmost fit.
-        bool fits(std::string_view text, std::vector<std::string>& values) const {
+        bool match(std::string_view text, std::vector<std::string>& values) const {
             if (text.size() < literals.front().size() || !text.starts_with(literals.front()))
                 return false;
             text.remove_prefix(literals.front().size());
-            const std::size_t before = values.size();
+            const std::size_t old_size = values.size();
             for (std::size_t i = 1; i < literals.size(); ++i) {
-                const bool last = i + 1 == literals.size();
-                std::size_t at = std::string_view::npos;
-                if (!last)
-                    at = text.size() < 2 ? at : text.find(literals[i], 1);
+                const bool is_last = i + 1 == literals.size();
+                std::size_t value_length = std::string_view::npos;
+                if (!is_last)
+                    value_length = text.size() < 2 ? value_length : text.find(literals[i], 1);
                 else if (text.size() > literals[i].size() && text.ends_with(literals[i]))
-                    at = text.size() - literals[i].size();
-                if (at == std::string_view::npos || at == 0) return values.resize(before), false;
-                values.emplace_back(text.substr(0, at));
-                text.remove_prefix(at + literals[i].size());
+                    value_length = text.size() - literals[i].size();
+                if (value_length == std::string_view::npos || value_length == 0)
+                    return values.resize(old_size), false;
+                values.emplace_back(text.substr(0, value_length));
+                text.remove_prefix(value_length + literals[i].size());
             }
             return true;
         }
     };
-    std::unordered_map<std::string, std::unique_ptr<Node>, ViewHash, std::equal_to<>> literals;
+    std::unordered_map<std::string, std::unique_ptr<Node>, ViewHash, std::equal_to<>>
+        literal_children;
     std::vector<Pattern> patterns;  // the most literal first
     std::array<const Route*, method_names.size()> routes{};
-    std::array<std::vector<std::string>, method_names.size()> names;
-    bool ends() const {
+    std::array<std::vector<std::string>, method_names.size()> parameter_names;
+    bool has_route() const {
         return std::any_of(routes.begin(), routes.end(),
-                           [](const Route* r) { return r != nullptr; });
+                           [](const Route* route) { return route != nullptr; });
     }
 };
 
@@ -82,67 +84,70 @@
 
 const Route* RouteTable::add(Route route) {
     Node* node = root_.get();
-    std::vector<std::string> names;
+    std::vector<std::string> parameter_names;
     std::string_view path = route.path;
     while (!path.empty()) {
         std::string_view segment = next_segment(path);
         std::vector<std::string> literals(1);
         while (!segment.empty()) {
-            const std::size_t open = std::min(segment.find('{'), segment.size());
-            literals.back() += segment.substr(0, open);
-            segment.remove_prefix(open);
-            const std::size_t close = segment.find('}');
+            const std::size_t open_brace = std::min(segment.find('{'), segment.size());
+            literals.back() += segment.substr(0, open_brace);
+            segment.remove_prefix(open_brace);
+            const std::size_t close_brace = segment.find('}');
             if (segment.empty()) break;
-            names.emplace_back(segment.substr(1, close - 1));
+            parameter_names.emplace_back(segment.substr(1, close_brace - 1));
             literals.emplace_back();
-            segment.remove_prefix(close + 1);
+            segment.remove_prefix(close_brace + 1);
         }
         if (literals.size() == 1) {
             const auto decoded = decode_segment(literals.front());
-            auto& next = node->literals[decoded ? *decoded : literals.front()];
-            if (!next) next = std::make_unique<Node>();
-            node = next.get();
+            auto& child = node->literal_children[decoded ? *decoded : literals.front()];
+            if (!child) child = std::make_unique<Node>();
+            node = child.get();
             continue;
         }
-        auto same = std::find_if(node->patterns.begin(), node->patterns.end(),
-                                 [&](const Node::Pattern& p) { return p.literals == literals; });
-        if (same == node->patterns.end()) {
-            Node::Pattern fresh{std::move(literals), std::make_unique<Node>()};
-            const auto less = [](const Node::Pattern& a, const Node::Pattern& b) {
-                return a.fixed() > b.fixed();
+        auto position = std::find_if(
+            node->patterns.begin(), node->patterns.end(),
+            [&](const Node::Pattern& pattern) { return pattern.literals == literals; });
+        if (position == node->patterns.end()) {
+            Node::Pattern new_pattern{std::move(literals), std::make_unique<Node>()};
+            const auto has_more_literal_text = [](const Node::Pattern& left,
+                                                  const Node::Pattern& right) {
+                return left.literal_length() > right.literal_length();
             };
-            same = node->patterns.insert(
-                std::upper_bound(node->patterns.begin(), node->patterns.end(), fresh, less),
-                std::move(fresh));
+            position =
+                node->patterns.insert(std::upper_bound(node->patterns.begin(), node->patterns.end(),
+                                                       new_pattern, has_more_literal_text),
+                                      std::move(new_pattern));
         }
-        node = same->next.get();
+        node = position->child.get();
     }
-    const auto slot = static_cast<std::size_t>(route.method);
-    if (node->routes[slot]) return node->routes[slot];
+    const auto method_index = static_cast<std::size_t>(route.method);
+    if (node->routes[method_index]) return node->routes[method_index];
     routes_.push_back(std::make_unique<Route>(std::move(route)));
-    node->routes[slot] = routes_.back().get();
-    node->names[slot] = std::move(names);
+    node->routes[method_index] = routes_.back().get();
+    node->parameter_names[method_index] = std::move(parameter_names);
     return nullptr;
 }
 
-const RouteTable::Node* RouteTable::walk(const Node& node, std::string_view path,
-                                         std::vector<std::string>& values) const {
-    if (path.empty()) return node.ends() ? &node : nullptr;
+const RouteTable::Node* RouteTable::find_node(const Node& node, std::string_view path,
+                                              std::vector<std::string>& values) const {
+    if (path.empty()) return node.has_route() ? &node : nullptr;
     const std::string_view raw = next_segment(path);
     std::string decoded;
     std::string_view segment = raw;
     if (raw.find('%') != std::string_view::npos) {
-        const auto text = decode_segment(raw);
-        if (!text) return nullptr;
-        decoded = *text, segment = decoded;
+        const auto decoded_segment = decode_segment(raw);
+        if (!decoded_segment) return nullptr;
+        decoded = *decoded_segment, segment = decoded;
     }
-    if (const auto it = node.literals.find(segment); it != node.literals.end())
-        if (const Node* found = walk(*it->second, path, values)) return found;
+    if (const auto it = node.literal_children.find(segment); it != node.literal_children.end())
+        if (const Node* found = find_node(*it->second, path, values)) return found;
     for (const Node::Pattern& pattern : node.patterns) {
-        const std::size_t before = values.size();
-        if (!pattern.fits(segment, values)) continue;
-        if (const Node* found = walk(*pattern.next, path, values)) return found;
-        values.resize(before);
+        const std::size_t old_size = values.size();
+        if (!pattern.match(segment, values)) continue;
+        if (const Node* found = find_node(*pattern.child, path, values)) return found;
+        values.resize(old_size);
     }
     return nullptr;
 }
@@ -150,53 +155,55 @@
 RouteTable::Found RouteTable::find(Method method, std::string_view path) const {
     Found found;
     std::vector<std::string> values;
-    const Node* node = path.empty() || path.front() != '/' ? nullptr : walk(*root_, path, values);
+    const Node* node =
+        path.empty() || path.front() != '/' ? nullptr : find_node(*root_, path, values);
     if (!node) return found;
     found.path_known = true;
-    const auto slot_of = [](Method m) { return static_cast<std::size_t>(m); };
-    auto slot = slot_of(method);
-    if (!node->routes[slot] && method == Method::head) slot = slot_of(Method::get);
-    if (node->routes[slot]) {
-        found.route = node->routes[slot];
+    const auto index_of = [](Method candidate) { return static_cast<std::size_t>(candidate); };
+    auto method_index = index_of(method);
+    if (!node->routes[method_index] && method == Method::head) method_index = index_of(Method::get);
+    if (node->routes[method_index]) {
+        found.route = node->routes[method_index];
         for (std::size_t i = 0; i < values.size(); ++i)
-            found.parameters.emplace_back(node->names[slot][i], std::move(values[i]));
+            found.parameters.emplace_back(node->parameter_names[method_index][i],
+                                          std::move(values[i]));
         return found;
     }
     for (std::size_t i = 0; i < node->routes.size(); ++i) {
-        const auto m = static_cast<Method>(i);
-        if (node->routes[i] || (m == Method::head && node->routes[slot_of(Method::get)]))
-            found.allowed.push_back(m);
+        const auto candidate = static_cast<Method>(i);
+        if (node->routes[i] || (candidate == Method::head && node->routes[index_of(Method::get)]))
+            found.allowed.push_back(candidate);
     }
     return found;
 }
 
 std::optional<std::string> decode_segment(std::string_view segment) {
-    std::string out;
+    std::string decoded;
     for (std::size_t i = 0; i < segment.size(); ++i) {
         if (segment[i] != '%') {
-            out.push_back(segment[i]);
+            decoded.push_back(segment[i]);
             continue;
         }
-        const int high = i + 2 < segment.size() ? hex(segment[i + 1]) : -1;
-        const int low = i + 2 < segment.size() ? hex(segment[i + 2]) : -1;
+        const int high = i + 2 < segment.size() ? hex_digit_value(segment[i + 1]) : -1;
+        const int low = i + 2 < segment.size() ? hex_digit_value(segment[i + 2]) : -1;
         if (high < 0 || low < 0) return std::nullopt;
-        const char c = static_cast<char>(high * 16 + low);
-        if (c == '/' || c == '\\' || c == '\0') return std::nullopt;
-        out.push_back(c);
+        const char character = static_cast<char>(high * 16 + low);
+        if (character == '/' || character == '\\' || character == '\0') return std::nullopt;
+        decoded.push_back(character);
         i += 2;
     }
-    return out;
+    return decoded;
 }
 
 PathFault check_path(std::string_view path) {
     if (path.empty() || path.front() != '/') return PathFault::not_absolute;
     while (!path.empty()) {
-        const std::string_view raw = next_segment(path);
-        if (raw.find('\\') != std::string_view::npos) return PathFault::bad_escape;
-        const bool escaped = raw.find('%') != std::string_view::npos;
-        const auto decoded = escaped ? decode_segment(raw) : std::nullopt;
-        if (escaped && !decoded) return PathFault::bad_escape;
-        const std::string_view text = escaped ? std::string_view(*decoded) : raw;
+        const std::string_view segment = next_segment(path);
+        if (segment.find('\\') != std::string_view::npos) return PathFault::bad_escape;
+        const bool is_escaped = segment.find('%') != std::string_view::npos;
+        const auto decoded = is_escaped ? decode_segment(segment) : std::nullopt;
+        if (is_escaped && !decoded) return PathFault::bad_escape;
+        const std::string_view text = is_escaped ? std::string_view(*decoded) : segment;
         if (text == "." || text == "..") return PathFault::dot_segment;
     }
     return PathFault::none;
--- a/src/openapi/route.h
+++ b/src/openapi/route.h
@@ -48,7 +48,7 @@
 struct Route {
     Method method = Method::get;
     std::string path;  // with the server's base path
-    std::string operation;
+    std::string operation_id;
     std::string request_class;
     double units = 1;
     std::optional<Carrier> units_from;  // overrides `units` where the request has it
@@ -83,8 +83,8 @@
 
   private:
     struct Node;
-    const Node* walk(const Node& node, std::string_view path,
-                     std::vector<std::string>& values) const;
+    const Node* find_node(const Node& node, std::string_view path,
+                          std::vector<std::string>& values) const;
     std::unique_ptr<Node> root_;
     std::vector<std::unique_ptr<Route>> routes_;
 };
--- a/tests/openapi/openapi_test.cpp
+++ b/tests/openapi/openapi_test.cpp
@@ -7,33 +7,34 @@
 using namespace silverreach::openapi;
 
 namespace {
-const std::string head =
+const std::string header =
     "openapi: 3.1.0\ninfo: {title: t, version: '1'}\nx-silverreach-class: "
     "read\nx-silverreach-units: 1\n";
 
 struct Loaded {
     std::shared_ptr<const Description> description;
     std::vector<Problem> problems;
-    const Route* find(Method m, std::string_view path) const {
-        return description->table.find(m, path).route;
+    const Route* find(Method method, std::string_view path) const {
+        return description->table.find(method, path).route;
     }
-    bool has(int line, const std::string& words) const {
-        for (const Problem& p : problems)
-            if (p.line == line && to_string(p).find(words) != std::string::npos) return true;
+    bool has_problem(int line, const std::string& text) const {
+        for (const Problem& problem : problems)
+            if (problem.line == line && to_string(problem).find(text) != std::string::npos)
+                return true;
         return false;
     }
 };
-Loaded read(const std::string& text, const Policy& policy = {}) {
-    Loaded l;
-    l.description = load(text, "api.yaml", policy, l.problems);
-    for (const Problem& p : l.problems)
-        l.description ? void() : void(std::cout << to_string(p) << "\n");
-    return l;
+Loaded load_with(const std::string& text, const Policy& policy = {}) {
+    Loaded loaded;
+    loaded.description = load(text, "api.yaml", policy, loaded.problems);
+    for (const Problem& problem : loaded.problems)
+        loaded.description ? void() : void(std::cout << to_string(problem) << "\n");
+    return loaded;
 }
 }  // namespace
 
-TEST(Routes, LiteralsGoBeforeTemplatesAndBackAgain) {
-    const auto l = read(head + R"(paths:
+TEST(Routes, LiteralsMatchBeforeTemplates) {
+    const auto loaded = load_with(header + R"(paths:
   /pets/{id}: {parameters: [{name: id, in: path, required: true}], get: {operationId: one}}
   /pets/mine: {get: {operationId: mine}}
   /pets/mine/toys: {get: {operationId: toys}}
@@ -41,28 +42,28 @@
   /pets/{id}.json: {parameters: [{name: id, in: path, required: true}], get: {operationId: json}}
   /r/{a}-{b}: {parameters: [{name: a, in: path}, {name: b, in: path}], get: {operationId: range}}
 )");
-    ASSERT_TRUE(l.description);
-    EXPECT_EQ(l.find(Method::get, "/pets/mine")->operation, "mine");
-    EXPECT_EQ(l.find(Method::get, "/pets/7")->operation, "one");
-    EXPECT_EQ(l.find(Method::get, "/pets/mine/owner")->operation, "owner")
+    ASSERT_TRUE(loaded.description);
+    EXPECT_EQ(loaded.find(Method::get, "/pets/mine")->operation_id, "mine");
+    EXPECT_EQ(loaded.find(Method::get, "/pets/7")->operation_id, "one");
+    EXPECT_EQ(loaded.find(Method::get, "/pets/mine/owner")->operation_id, "owner")
         << "the literal leads nowhere here";
-    EXPECT_EQ(l.find(Method::get, "/pets/7.json")->operation, "json")
+    EXPECT_EQ(loaded.find(Method::get, "/pets/7.json")->operation_id, "json")
         << "more literal text goes first";
-    const auto range = l.description->table.find(Method::get, "/r/1-2-3");
+    const auto range = loaded.description->table.find(Method::get, "/r/1-2-3");
     ASSERT_TRUE(range.route);
     EXPECT_EQ(range.parameters[0].second + "," + range.parameters[1].second, "1,2-3");
-    EXPECT_EQ(l.find(Method::get, "/pets/%6dine")->operation, "mine")
+    EXPECT_EQ(loaded.find(Method::get, "/pets/%6dine")->operation_id, "mine")
         << "escapes of plain characters are the same path";
-    EXPECT_FALSE(l.description->table.find(Method::get, "/pets/").path_known);
-    EXPECT_FALSE(l.description->table.find(Method::get, "//pets/7").path_known);
-    EXPECT_FALSE(l.description->table.find(Method::get, "/pets/7/").path_known);
-    const auto other = l.description->table.find(Method::post, "/pets/mine");
+    EXPECT_FALSE(loaded.description->table.find(Method::get, "/pets/").path_known);
+    EXPECT_FALSE(loaded.description->table.find(Method::get, "//pets/7").path_known);
+    EXPECT_FALSE(loaded.description->table.find(Method::get, "/pets/7/").path_known);
+    const auto other = loaded.description->table.find(Method::post, "/pets/mine");
     EXPECT_TRUE(other.path_known);
     EXPECT_EQ(other.allowed, (std::vector<Method>{Method::get, Method::head}));
-    EXPECT_EQ(l.find(Method::head, "/pets/7")->operation, "one");
+    EXPECT_EQ(loaded.find(Method::head, "/pets/7")->operation_id, "one");
 }
 
-TEST(Routes, PathsThatProgramsReadDifferentlyAreNamed) {
+TEST(Routes, AmbiguousPathsAreReported) {
     EXPECT_EQ(check_path("/a/../b"), PathFault::dot_segment);
     EXPECT_EQ(check_path("/a/%2e%2E/b"), PathFault::dot_segment);
     EXPECT_EQ(check_path("/a/."), PathFault::dot_segment);
@@ -77,26 +78,26 @@
     EXPECT_EQ(decode_segment("x%41"), "xA");
 }
 
-TEST(Description, NearestExtensionWinsAndSaysWhereItCameFrom) {
-    const auto l = read(head + R"(paths:
+TEST(Description, NearestExtensionWinsAndItsOriginIsRecorded) {
+    const auto loaded = load_with(header + R"(paths:
   /a:
     x-silverreach-units: 2
     get: {x-silverreach-units: 3}
     put: {x-silverreach-class: write}
   /b: {get: {}}
 )");
-    ASSERT_TRUE(l.description);
-    EXPECT_EQ(l.find(Method::get, "/a")->units, 3);
-    EXPECT_EQ(l.find(Method::get, "/a")->units_origin, "operation:8");
-    EXPECT_EQ(l.find(Method::put, "/a")->units, 2);
-    EXPECT_EQ(l.find(Method::put, "/a")->request_class, "write");
-    EXPECT_EQ(l.find(Method::put, "/a")->class_origin, "operation:9");
-    EXPECT_EQ(l.find(Method::get, "/b")->units_origin, "root:4");
-    EXPECT_NE(table_text(*l.description).find("operation:8"), std::string::npos);
+    ASSERT_TRUE(loaded.description);
+    EXPECT_EQ(loaded.find(Method::get, "/a")->units, 3);
+    EXPECT_EQ(loaded.find(Method::get, "/a")->units_origin, "operation:8");
+    EXPECT_EQ(loaded.find(Method::put, "/a")->units, 2);
+    EXPECT_EQ(loaded.find(Method::put, "/a")->request_class, "write");
+    EXPECT_EQ(loaded.find(Method::put, "/a")->class_origin, "operation:9");
+    EXPECT_EQ(loaded.find(Method::get, "/b")->units_origin, "root:4");
+    EXPECT_NE(table_text(*loaded.description).find("operation:8"), std::string::npos);
 }
 
-TEST(Description, EffectFollowsTheMethodTheKeyAndTheOverride) {
-    const auto l = read(head + R"(paths:
+TEST(Description, EffectDependsOnMethodKeyAndOverride) {
+    const auto loaded = load_with(header + R"(paths:
   /a:
     get: {}
     put: {}
@@ -107,38 +108,39 @@
     post: {parameters: [{name: idempotency-key, in: header, required: true}]}
     put: {x-silverreach-effect: unsafe}
 )");
-    ASSERT_TRUE(l.description);
-    EXPECT_EQ(l.find(Method::get, "/a")->effect, Idempotency::idempotent);
-    EXPECT_EQ(l.find(Method::put, "/a")->effect, Idempotency::idempotent);
-    EXPECT_EQ(l.find(Method::del, "/a")->effect, Idempotency::idempotent);
-    EXPECT_EQ(l.find(Method::post, "/a")->effect, Idempotency::non_idempotent);
-    EXPECT_EQ(l.find(Method::patch, "/a")->effect, Idempotency::idempotent);
-    EXPECT_EQ(l.find(Method::post, "/k")->effect, Idempotency::idempotency_key);
-    EXPECT_TRUE(l.find(Method::post, "/k")->key_required);
-    EXPECT_EQ(l.find(Method::put, "/k")->effect, Idempotency::non_idempotent);
-    EXPECT_TRUE(read(head + "paths: {/a: {post: {x-silverreach-effect: keyed}}}\n")
-                    .has(5, "Idempotency-Key"));
+    ASSERT_TRUE(loaded.description);
+    EXPECT_EQ(loaded.find(Method::get, "/a")->effect, Idempotency::idempotent);
+    EXPECT_EQ(loaded.find(Method::put, "/a")->effect, Idempotency::idempotent);
+    EXPECT_EQ(loaded.find(Method::del, "/a")->effect, Idempotency::idempotent);
+    EXPECT_EQ(loaded.find(Method::post, "/a")->effect, Idempotency::non_idempotent);
+    EXPECT_EQ(loaded.find(Method::patch, "/a")->effect, Idempotency::idempotent);
+    EXPECT_EQ(loaded.find(Method::post, "/k")->effect, Idempotency::idempotency_key);
+    EXPECT_TRUE(loaded.find(Method::post, "/k")->key_required);
+    EXPECT_EQ(loaded.find(Method::put, "/k")->effect, Idempotency::non_idempotent);
+    EXPECT_TRUE(load_with(header + "paths: {/a: {post: {x-silverreach-effect: keyed}}}\n")
+                    .has_problem(5, "Idempotency-Key"));
 }
 
-TEST(Description, ServersVariablesAndOverridesGiveBasePaths) {
-    const auto l = read(head + R"(servers:
+TEST(Description, BasePathsComeFromServersVariablesAndOverrides) {
+    const auto loaded = load_with(header + R"(servers:
   - url: https://{host}/{stage}/
     variables: {host: {default: h}, stage: {default: v1, enum: [v1, v2]}}
 paths:
   /a: {get: {}}
   /b: {servers: [{url: /other}], get: {}, put: {servers: [{url: "http://x"}]}}
 )");
-    ASSERT_TRUE(l.description);
-    EXPECT_TRUE(l.find(Method::get, "/v1/a"));
-    EXPECT_TRUE(l.find(Method::get, "/v2/a"));
-    EXPECT_FALSE(l.find(Method::get, "/a"));
-    EXPECT_TRUE(l.find(Method::get, "/other/b"));
-    EXPECT_TRUE(l.find(Method::put, "/b"));
-    EXPECT_FALSE(read(head + "servers: [{url: '/{x}'}]\npaths: {/a: {get: {}}}\n").description);
+    ASSERT_TRUE(loaded.description);
+    EXPECT_TRUE(loaded.find(Method::get, "/v1/a"));
+    EXPECT_TRUE(loaded.find(Method::get, "/v2/a"));
+    EXPECT_FALSE(loaded.find(Method::get, "/a"));
+    EXPECT_TRUE(loaded.find(Method::get, "/other/b"));
+    EXPECT_TRUE(loaded.find(Method::put, "/b"));
+    EXPECT_FALSE(
+        load_with(header + "servers: [{url: '/{x}'}]\npaths: {/a: {get: {}}}\n").description);
 }
 
-TEST(Description, ReferencesAreFollowedWithinTheFileAndCirclesAreNamed) {
-    const auto l = read(head + R"(paths:
+TEST(Description, ReferencesResolveWithinTheFileAndCyclesAreReported) {
+    const auto loaded = load_with(header + R"(paths:
   /a/{id}: {$ref: '#/components/pathItems/one'}
 components:
   pathItems:
@@ -149,21 +151,21 @@
   schemas:
     self: {properties: {again: {$ref: '#/components/schemas/self'}}}
 )");
-    ASSERT_TRUE(l.description) << "a schema may refer to itself";
-    EXPECT_TRUE(l.find(Method::get, "/a/7"));
-    const auto circle = read(head + R"(paths:
+    ASSERT_TRUE(loaded.description) << "a schema may refer to itself";
+    EXPECT_TRUE(loaded.find(Method::get, "/a/7"));
+    const auto circular = load_with(header + R"(paths:
   /a: {get: {parameters: [{$ref: '#/components/parameters/p'}, {$ref: 'other.yaml#/x'}, {$ref: '#/no/where'}]}}
 components: {parameters: {p: {$ref: '#/components/parameters/q'}, q: {$ref: '#/components/parameters/p'}}}
 )");
-    EXPECT_FALSE(circle.description);
-    EXPECT_EQ(circle.problems.size(), 3u) << "all of them at once";
-    EXPECT_TRUE(circle.has(6, "circle"));
-    EXPECT_TRUE(circle.has(6, "within this file"));
-    EXPECT_TRUE(circle.has(6, "'#/no/where' is none"));
+    EXPECT_FALSE(circular.description);
+    EXPECT_EQ(circular.problems.size(), 3u) << "all of them at once";
+    EXPECT_TRUE(circular.has_problem(6, "circle"));
+    EXPECT_TRUE(circular.has_problem(6, "within this file"));
+    EXPECT_TRUE(circular.has_problem(6, "'#/no/where' is none"));
 }
 
-TEST(Description, SecurityTellsWhereKeysAre) {
-    const auto l = read(head + R"(components:
+TEST(Description, SecuritySchemesYieldKeyCarriers) {
+    const auto loaded = load_with(header + R"(components:
   securitySchemes:
     k: {type: apiKey, in: query, name: key}
     c: {type: apiKey, in: cookie, name: session}
@@ -175,79 +177,87 @@
   /b: {get: {security: [{c: []}, {}]}}
   /c: {get: {security: []}}
 )");
-    ASSERT_TRUE(l.description);
-    EXPECT_EQ(l.find(Method::get, "/a")->keys,
+    ASSERT_TRUE(loaded.description);
+    EXPECT_EQ(loaded.find(Method::get, "/a")->keys,
               (std::vector<Carrier>{{Place::query, "key", false},
                                     {Place::header, "Authorization", true}}));
-    EXPECT_FALSE(l.find(Method::get, "/a")->anonymous);
-    EXPECT_TRUE(l.find(Method::get, "/b")->anonymous);
-    EXPECT_TRUE(l.find(Method::get, "/c")->anonymous);
-    EXPECT_FALSE(read(head + "components: {securitySchemes: {o: {type: oauth2}}}\nsecurity: [{o: "
-                             "[]}]\npaths: {/a: {get: {}}}\n")
+    EXPECT_FALSE(loaded.find(Method::get, "/a")->anonymous);
+    EXPECT_TRUE(loaded.find(Method::get, "/b")->anonymous);
+    EXPECT_TRUE(loaded.find(Method::get, "/c")->anonymous);
+    EXPECT_FALSE(load_with(header +
+                           "components: {securitySchemes: {o: {type: oauth2}}}\nsecurity: [{o: "
+                           "[]}]\npaths: {/a: {get: {}}}\n")
                      .description);
-    EXPECT_TRUE(read(head + "security: [{nobody: []}]\npaths: {/a: {get: {}}}\n")
-                    .has(5, "securitySchemes"));
+    EXPECT_TRUE(load_with(header + "security: [{nobody: []}]\npaths: {/a: {get: {}}}\n")
+                    .has_problem(5, "securitySchemes"));
 }
 
-TEST(Description, MissingCostFollowsThePolicy) {
-    const std::string bare =
+TEST(Description, MissingClassAndUnitsFollowThePolicy) {
+    const std::string unpriced =
         "openapi: 3.0.3\npaths: {/a: {get: {}, post: {x-silverreach-units: 4}}}\n";
-    Policy strict;
-    EXPECT_EQ(read(bare, strict).problems.size(), 3u) << "class twice, cost once";
-    Policy lax;
-    lax.reject_unpriced = false, lax.default_class = "bulk", lax.default_units = 5;
-    const auto l = read(bare, lax);
-    ASSERT_TRUE(l.description);
-    EXPECT_EQ(l.find(Method::get, "/a")->units, 5);
-    EXPECT_EQ(l.find(Method::get, "/a")->units_origin, "policy");
-    EXPECT_EQ(l.find(Method::post, "/a")->request_class, "bulk");
+    Policy strict_policy;
+    EXPECT_EQ(load_with(unpriced, strict_policy).problems.size(), 3u) << "class twice, cost once";
+    Policy lenient_policy;
+    lenient_policy.reject_unpriced = false, lenient_policy.default_class = "bulk",
+    lenient_policy.default_units = 5;
+    const auto loaded = load_with(unpriced, lenient_policy);
+    ASSERT_TRUE(loaded.description);
+    EXPECT_EQ(loaded.find(Method::get, "/a")->units, 5);
+    EXPECT_EQ(loaded.find(Method::get, "/a")->units_origin, "policy");
+    EXPECT_EQ(loaded.find(Method::post, "/a")->request_class, "bulk");
 }
 
-TEST(Description, BadOnesNameLineFieldAndWhatWasExpected) {
-    Policy known;
-    known.classes = {"read"};
-    EXPECT_TRUE(read(head + "paths: {/a: {get: {x-silverreach-class: nope}}}\n", known)
-                    .has(5, "one of read, not 'nope'"));
+TEST(Description, InvalidDescriptionsAreReportedWithLineFieldAndExpectation) {
+    Policy policy;
+    policy.classes = {"read"};
+    EXPECT_TRUE(load_with(header + "paths: {/a: {get: {x-silverreach-class: nope}}}\n", policy)
+                    .has_problem(5, "one of read, not 'nope'"));
+    EXPECT_TRUE(load_with(header + "paths: {/a: {get: {x-silverreach-units: -1}}}\n")
+                    .has_problem(5, "a number from 0"));
+    EXPECT_TRUE(load_with(header + "paths: {/a: {get: {x-silverreach-units: '1'}}}\n")
+                    .has_problem(5, "a number from 0"));
+    EXPECT_TRUE(load_with(header + "paths: {/a: {get: {x-silverreach-unit: 1}}}\n")
+                    .has_problem(5, "-units-from or -effect"));
+    EXPECT_TRUE(load_with(header + "paths: {a: {get: {}}}\n").has_problem(5, "starts with '/'"));
     EXPECT_TRUE(
-        read(head + "paths: {/a: {get: {x-silverreach-units: -1}}}\n").has(5, "a number from 0"));
+        load_with(header + "paths: {'/{a}{b}': {get: {}}}\n").has_problem(5, "text between"));
+    EXPECT_TRUE(load_with(header + "paths: {'/{a': {get: {}}}\n").has_problem(5, "'}'"));
     EXPECT_TRUE(
-        read(head + "paths: {/a: {get: {x-silverreach-units: '1'}}}\n").has(5, "a number from 0"));
-    EXPECT_TRUE(read(head + "paths: {/a: {get: {x-silverreach-unit: 1}}}\n")
-                    .has(5, "-units-from or -effect"));
-    EXPECT_TRUE(read(head + "paths: {a: {get: {}}}\n").has(5, "starts with '/'"));
-    EXPECT_TRUE(read(head + "paths: {'/{a}{b}': {get: {}}}\n").has(5, "text between"));
-    EXPECT_TRUE(read(head + "paths: {'/{a': {get: {}}}\n").has(5, "'}'"));
-    EXPECT_TRUE(read(head + "paths: {'/{a}': {get: {}}}\n").has(5, "path parameter 'a'"));
-    EXPECT_TRUE(read(head + "paths:\n  /{a}: {parameters: [{name: a, in: path}], get: {}}\n  /{b}: "
-                            "{parameters: [{name: b, in: path}], get: {}}\n")
-                    .has(7, "line 6"));
-    EXPECT_TRUE(read(head + "paths: {/a: {get: {}}}\npaths: {}\n").has(6, "once"));
-    EXPECT_TRUE(read("openapi: 2.0\npaths: {/a: {get: {}}}\n").has(1, "3.0.x or 3.1.x"));
-    EXPECT_TRUE(read("{\"openapi\": \"3.0.0\",\n\"paths\": {]}").has(2, "valid JSON"));
-    EXPECT_TRUE(read("a: [").problems[0].expected.find("valid YAML") == 0);
-    EXPECT_FALSE(read("").description);
+        load_with(header + "paths: {'/{a}': {get: {}}}\n").has_problem(5, "path parameter 'a'"));
+    EXPECT_TRUE(load_with(header +
+                          "paths:\n  /{a}: {parameters: [{name: a, in: path}], get: {}}\n  /{b}: "
+                          "{parameters: [{name: b, in: path}], get: {}}\n")
+                    .has_problem(7, "line 6"));
+    EXPECT_TRUE(load_with(header + "paths: {/a: {get: {}}}\npaths: {}\n").has_problem(6, "once"));
     EXPECT_TRUE(
-        read(head + "paths: {/a: {get: {x-silverreach-units-from: {in: header, name: X-U}}}}\n")
-            .has(5, "the operation declares"));
-    std::string deep = "x: ";
+        load_with("openapi: 2.0\npaths: {/a: {get: {}}}\n").has_problem(1, "3.0.x or 3.1.x"));
+    EXPECT_TRUE(load_with("{\"openapi\": \"3.0.0\",\n\"paths\": {]}").has_problem(2, "valid JSON"));
+    EXPECT_TRUE(load_with("a: [").problems[0].expected.find("valid YAML") == 0);
+    EXPECT_FALSE(load_with("").description);
+    EXPECT_TRUE(
+        load_with(header +
+                  "paths: {/a: {get: {x-silverreach-units-from: {in: header, name: X-U}}}}\n")
+            .has_problem(5, "the operation declares"));
+    std::string deeply_nested = "x: ";
     for (int i = 0; i < 100; ++i)
-        deep += "[";
+        deeply_nested += "[";
     for (int i = 0; i < 100; ++i)
-        deep += "]";
-    EXPECT_NE(read(deep + "\n").problems.at(0).expected.find("64"), std::string::npos);
-    std::string bomb = "a: &a [x,x,x,x,x,x,x,x,x,x]\n";
+        deeply_nested += "]";
+    EXPECT_NE(load_with(deeply_nested + "\n").problems.at(0).expected.find("64"),
+              std::string::npos);
+    std::string alias_bomb = "a: &a [x,x,x,x,x,x,x,x,x,x]\n";
     for (char c = 'b'; c < 'j'; ++c)
-        bomb += fmt::format("{0}: &{0} [*{1},*{1},*{1},*{1},*{1},*{1},*{1},*{1},*{1},*{1}]\n", c,
-                            static_cast<char>(c - 1));
-    EXPECT_NE(read(bomb).problems.at(0).expected.find("2000000"), std::string::npos);
+        alias_bomb += fmt::format("{0}: &{0} [*{1},*{1},*{1},*{1},*{1},*{1},*{1},*{1},*{1},*{1}]\n",
+                                  c, static_cast<char>(c - 1));
+    EXPECT_NE(load_with(alias_bomb).problems.at(0).expected.find("2000000"), std::string::npos);
 }
 
-TEST(Description, JsonIsReadAsYamlIs) {
-    const auto l =
-        read(R"({"openapi": "3.0.1", "x-silverreach-class": "read", "x-silverreach-units": 1,
+TEST(Description, JsonDescriptionsAreRead) {
+    const auto loaded =
+        load_with(R"({"openapi": "3.0.1", "x-silverreach-class": "read", "x-silverreach-units": 1,
  "paths": {"\/a\u002fb": {"get": {"operationId": "x\u00e9"}}}})");
-    ASSERT_TRUE(l.description);
-    ASSERT_TRUE(l.find(Method::get, "/a/b"));
-    EXPECT_EQ(l.find(Method::get, "/a/b")->operation, "x\u00e9");
-    EXPECT_EQ(l.find(Method::get, "/a/b")->line, 2);
+    ASSERT_TRUE(loaded.description);
+    ASSERT_TRUE(loaded.find(Method::get, "/a/b"));
+    EXPECT_EQ(loaded.find(Method::get, "/a/b")->operation_id, "x\u00e9");
+    EXPECT_EQ(loaded.find(Method::get, "/a/b")->line, 2);
 }
