--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -35,7 +35,7 @@
 // Throws std::invalid_argument with one plain line that names the variable or the key. `variable`
 // gives an environment variable or nothing. An unknown key is passed over.
 NodeConfig read_config(std::string_view text,
-                       const std::function<const char*(const char*)>& variable);
+                       const std::function<const char*(const char*)>& get_variable);
 
 // Whether the text is one whole JSON object.
 bool is_object(std::string_view text);
--- a/src/platform/object_reader.h
+++ b/src/platform/object_reader.h
@@ -15,19 +15,20 @@
         whole,
         broken
     };
-    explicit ObjectReader(std::size_t most = std::size_t{1024} * 1024) : most_(most) {}
+    explicit ObjectReader(std::size_t max_object_bytes = std::size_t{1024} * 1024)
+        : max_object_bytes_(max_object_bytes) {}
     // Takes bytes off the front of `bytes` until an object is whole, or all are taken.
     Got look(std::string_view& bytes);
-    std::string take();                            // the whole object; the next one begins
-    bool between() const { return depth_ == 0; }   // no object has begun
-    std::string_view why() const { return why_; }  // it is broken
+    std::string take();                              // the whole object; the next one begins
+    bool between() const { return depth_ == 0; }     // no object has begun
+    std::string_view why() const { return error_; }  // it is broken
 
   private:
-    std::size_t most_;
+    std::size_t max_object_bytes_;
     std::string object_;
     int depth_ = 0;
-    bool in_text_ = false, escaped_ = false;
-    std::string_view why_;
+    bool in_string_ = false, escaped_ = false;
+    std::string_view error_;
 };
 
 }  // namespace silverreach::platform
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -9,141 +9,152 @@
 namespace silverreach::platform {
 namespace {
 using namespace std::chrono_literals;
-constexpr std::string_view query = "SVC.QUERY", submit = "SVC.SUBMIT";
-constexpr std::size_t hex_digits = 16, most_list = 1024, most_name = 32, most_value = 128;
-constexpr std::uint64_t customers = 1ull << 33;
-constexpr std::int64_t most_wait_ms = 3'600'000;
+constexpr std::string_view query_command = "SVC.QUERY", submit_command = "SVC.SUBMIT";
+constexpr std::size_t hex_digits = 16, max_list_bytes = 1024, max_name_bytes = 32,
+                      max_value_bytes = 128;
+constexpr std::uint64_t customer_id_limit = 1ull << 33;
+constexpr std::int64_t max_deadline_ms = 3'600'000;
 
 // Lower case only: two spellings of a customer would be two quotas.
-std::optional<std::uint64_t> hex(std::string_view text) {
+std::optional<std::uint64_t> parse_hex_id(std::string_view text) {
     std::uint64_t value = 0;
     if (text.size() != hex_digits) return std::nullopt;
-    for (const char c : text)
-        if (!(c >= '0' && c <= '9') && !(c >= 'a' && c <= 'f')) return std::nullopt;
+    for (const char digit : text)
+        if (!(digit >= '0' && digit <= '9') && !(digit >= 'a' && digit <= 'f')) return std::nullopt;
     std::from_chars(text.data(), text.data() + text.size(), value, 16);
     return value;
 }
 // `how`: further arguments of std::from_chars.
-template <class T, class... How>
-std::optional<T> number(std::string_view text, How... how) {
+template <class T, class... Options>
+std::optional<T> parse_number(std::string_view text, Options... options) {
     T value{};
     const char* end = text.data() + text.size();
-    const auto read = std::from_chars(text.data(), end, value, how...);
-    if (read.ec != std::errc() || read.ptr != end) return std::nullopt;
+    const auto result = std::from_chars(text.data(), end, value, options...);
+    if (result.ec != std::errc() || result.ptr != end) return std::nullopt;
     return value;
 }
-bool plain(std::string_view text, std::size_t most) {
-    return !text.empty() && text.size() <= most &&
+bool is_plain_token(std::string_view text, std::size_t max_bytes) {
+    return !text.empty() && text.size() <= max_bytes &&
            std::all_of(text.begin(), text.end(),
                        [](char c) { return c > ' ' && c < 0x7f && c != ','; });
 }
 }  // namespace
 
-std::string OutCommand::with(Micros wait) const {
+std::string OutCommand::with(Micros remaining) const {
     // Rounded down, so that no host works past the time; never nothing.
-    const auto ms =
-        std::max<std::int64_t>(1, std::chrono::floor<std::chrono::milliseconds>(wait).count());
-    std::string out = head;
-    resp::append_bulk(out, before + std::to_string(ms) + after);
-    return out += tail;
+    const auto remaining_ms =
+        std::max<std::int64_t>(1, std::chrono::floor<std::chrono::milliseconds>(remaining).count());
+    std::string bytes = head;
+    resp::append_bulk(bytes, before + std::to_string(remaining_ms) + after);
+    return bytes += tail;
 }
 
 CommandValidator::CommandValidator(const NodeConfig& config)
-    : instances_(config.settings.instance_count), most_units_(std::max(1.0, config.most_units)) {
-    const Settings& s = config.settings;
-    for (std::size_t i = 0; i < s.classes.size(); ++i) {
-        const RequestClass& c = s.classes[i];
-        classes_[c.name] = {static_cast<int>(i), c.idempotency == Idempotency::idempotent,
-                            c.idempotency == Idempotency::idempotency_key, c.deadline};
+    : instance_count_(config.settings.instance_count),
+      max_units_(std::max(1.0, config.most_units)) {
+    const Settings& settings = config.settings;
+    for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+        const RequestClass& request_class = settings.classes[i];
+        classes_[request_class.name] = {
+            static_cast<int>(i), request_class.idempotency == Idempotency::idempotent,
+            request_class.idempotency == Idempotency::idempotency_key, request_class.deadline};
     }
-    for (std::size_t i = 0; i < s.plans.size(); ++i)
-        plans_[s.plans[i].name] = static_cast<int>(i);
+    for (std::size_t i = 0; i < settings.plans.size(); ++i)
+        plans_[settings.plans[i].name] = static_cast<int>(i);
 }
 
 bool CommandValidator::is_request(std::string_view command) {
-    return command == query || command == submit;
+    return command == query_command || command == submit_command;
 }
 
-Request CommandValidator::validate(const std::vector<std::string_view>& words) const {
-    Request r;
-    const auto no = [&r](const char* why) -> Request&& { return r.error = why, std::move(r); };
-    const bool asks = words.front() == query;
-    if (words.size() != (asks ? 4 : 5)) return no("wrong number of arguments");
-    const auto customer = hex(words[1]);
-    if (!customer || *customer >= customers)
-        return no("customer: expected 16 hex digits below 2^33");
-    const auto id = hex(words[2]);
-    if (!id) return no("id: expected 16 hex digits");
-    r.id = *id;
-    r.attempt.account = words[1];
-    const std::string_view list = words[3];
-    if (list.size() > most_list) return no("list of values: too long");
+Request CommandValidator::validate(const std::vector<std::string_view>& arguments) const {
+    Request request;
+    const auto reject = [&request](const char* reason) -> Request&& {
+        return request.error = reason, std::move(request);
+    };
+    const bool is_query = arguments.front() == query_command;
+    if (arguments.size() != (is_query ? 4 : 5)) return reject("wrong number of arguments");
+    const auto customer = parse_hex_id(arguments[1]);
+    if (!customer || *customer >= customer_id_limit)
+        return reject("customer: expected 16 hex digits below 2^33");
+    const auto id = parse_hex_id(arguments[2]);
+    if (!id) return reject("id: expected 16 hex digits");
+    request.id = *id;
+    request.attempt.account = arguments[1];
+    const std::string_view list = arguments[3];
+    if (list.size() > max_list_bytes) return reject("list of values: too long");
 
-    std::optional<Class> cls;
+    std::optional<ClassInfo> request_class;
     std::optional<int> plan;
-    std::optional<std::int64_t> wait, spread, first;
+    std::optional<std::int64_t> remaining_ms, subset_size, subset_start;
     std::optional<double> units;
     bool has_key = false;
-    std::vector<std::string_view> seen;
-    for (std::size_t at = 0; at <= list.size();) {
-        const std::size_t end = std::min(list.find(',', at), list.size());
-        const std::string_view pair = list.substr(at, end - at);
-        const std::size_t is = pair.find('=');
-        if (is == std::string_view::npos) return no("list of values: expected name=value");
-        const std::string_view name = pair.substr(0, is), value = pair.substr(is + 1);
-        if (!plain(name, most_name) || !plain(value, most_value))
-            return no("list of values: expected name=value");
-        if (std::find(seen.begin(), seen.end(), name) != seen.end())
-            return no("list of values: a name twice");
-        seen.push_back(name);
+    std::vector<std::string_view> seen_names;
+    for (std::size_t pair_start = 0; pair_start <= list.size();) {
+        const std::size_t pair_end = std::min(list.find(',', pair_start), list.size());
+        const std::string_view pair = list.substr(pair_start, pair_end - pair_start);
+        const std::size_t equals = pair.find('=');
+        if (equals == std::string_view::npos) return reject("list of values: expected name=value");
+        const std::string_view name = pair.substr(0, equals), value = pair.substr(equals + 1);
+        if (!is_plain_token(name, max_name_bytes) || !is_plain_token(value, max_value_bytes))
+            return reject("list of values: expected name=value");
+        if (std::find(seen_names.begin(), seen_names.end(), name) != seen_names.end())
+            return reject("list of values: a name twice");
+        seen_names.push_back(name);
         if (name == "c") {
-            const auto found = classes_.find(std::string(value));
-            if (found == classes_.end()) return no("c: no such class");
-            cls = found->second;
+            const auto class_entry = classes_.find(std::string(value));
+            if (class_entry == classes_.end()) return reject("c: no such class");
+            request_class = class_entry->second;
         } else if (name == "t") {
-            const auto found = plans_.find(std::string(value));
-            if (found == plans_.end()) return no("t: no such plan");
-            plan = found->second;
+            const auto plan_entry = plans_.find(std::string(value));
+            if (plan_entry == plans_.end()) return reject("t: no such plan");
+            plan = plan_entry->second;
         } else if (name == "d") {
-            wait = number<std::int64_t>(value);
-            if (!wait || *wait < 1 || *wait > most_wait_ms)
-                return no("d: expected milliseconds above 0");
-            r.out.before = list.substr(0, at + is + 1);
-            r.out.after = list.substr(end);
+            remaining_ms = parse_number<std::int64_t>(value);
+            if (!remaining_ms || *remaining_ms < 1 || *remaining_ms > max_deadline_ms)
+                return reject("d: expected milliseconds above 0");
+            request.out.before = list.substr(0, pair_start + equals + 1);
+            request.out.after = list.substr(pair_end);
         } else if (name == "units") {
-            units = number<double>(value, std::chars_format::fixed);
-            if (!units || !(*units > 0 && *units <= most_units_)) return no("units: out of range");
+            units = parse_number<double>(value, std::chars_format::fixed);
+            if (!units || !(*units > 0 && *units <= max_units_))
+                return reject("units: out of range");
         } else if (name == "spread") {
-            spread = number<std::int64_t>(value);
-            if (!spread || *spread < 1 || *spread > instances_) return no("spread: out of range");
+            subset_size = parse_number<std::int64_t>(value);
+            if (!subset_size || *subset_size < 1 || *subset_size > instance_count_)
+                return reject("spread: out of range");
         } else if (name == "first") {
-            first = number<std::int64_t>(value);
-            if (!first || *first < 0 || *first >= instances_) return no("first: out of range");
+            subset_start = parse_number<std::int64_t>(value);
+            if (!subset_start || *subset_start < 0 || *subset_start >= instance_count_)
+                return reject("first: out of range");
         } else if (name == "k") {
-            if (!hex(value)) return no("k: expected 16 hex digits");
+            if (!parse_hex_id(value)) return reject("k: expected 16 hex digits");
             has_key = true;
         }
-        at = end + 1;
+        pair_start = pair_end + 1;
     }
-    if (!cls) return no("c: missing");
-    if (!wait) return no("d: missing");
-    if (!plan && !plans_.empty()) return no("t: missing");
-    if (cls->safe != asks) return no("c: of the other command");
-    if (cls->keyed && !has_key) return no("k: missing");
-    r.attempt.request_class = cls->index;
-    r.out.repeatable = cls->safe || cls->keyed;
-    r.attempt.plan = plan.value_or(-1);
-    r.attempt.units = units.value_or(1);
+    if (!request_class) return reject("c: missing");
+    if (!remaining_ms) return reject("d: missing");
+    if (!plan && !plans_.empty()) return reject("t: missing");
+    if (request_class->is_idempotent != is_query) return reject("c: of the other command");
+    if (request_class->needs_key && !has_key) return reject("k: missing");
+    request.attempt.request_class = request_class->index;
+    request.out.repeatable = request_class->is_idempotent || request_class->needs_key;
+    request.attempt.plan = plan.value_or(-1);
+    request.attempt.units = units.value_or(1);
     // A class's deadline is the whole patience of its clients; a longer one only holds state here.
-    r.attempt.time_remaining = std::min<Micros>(std::chrono::milliseconds(*wait), cls->most);
-    if (spread.has_value() != first.has_value()) return no("spread and first: only together");
-    if (spread)
-        r.attempt.subset = core::AccountSubset{static_cast<int>(*spread), static_cast<int>(*first)};
-    resp::append_array(r.out.head, words.size());
+    request.attempt.time_remaining =
+        std::min<Micros>(std::chrono::milliseconds(*remaining_ms), request_class->deadline);
+    if (subset_size.has_value() != subset_start.has_value())
+        return reject("spread and first: only together");
+    if (subset_size)
+        request.attempt.subset =
+            core::AccountSubset{static_cast<int>(*subset_size), static_cast<int>(*subset_start)};
+    resp::append_array(request.out.head, arguments.size());
     for (std::size_t i = 0; i < 3; ++i)
-        resp::append_bulk(r.out.head, words[i]);
-    if (!asks) resp::append_bulk(r.out.tail, words[4]);
-    return r;
+        resp::append_bulk(request.out.head, arguments[i]);
+    if (!is_query) resp::append_bulk(request.out.tail, arguments[4]);
+    return request;
 }
 
 }  // namespace silverreach::platform
--- a/src/platform/request.h
+++ b/src/platform/request.h
@@ -33,19 +33,19 @@
   public:
     explicit CommandValidator(const NodeConfig& config);
     // `words`: those of one command, SVC.QUERY or SVC.SUBMIT first.
-    Request validate(const std::vector<std::string_view>& words) const;
+    Request validate(const std::vector<std::string_view>& arguments) const;
     static bool is_request(std::string_view command);
 
   private:
-    struct Class {
+    struct ClassInfo {
         int index = 0;
-        bool safe = false, keyed = false;
-        Micros most{0};
+        bool is_idempotent = false, needs_key = false;
+        Micros deadline{0};
     };
-    std::unordered_map<std::string, Class> classes_;
+    std::unordered_map<std::string, ClassInfo> classes_;
     std::unordered_map<std::string, int> plans_;
-    int instances_ = 1;
-    double most_units_ = 1;
+    int instance_count_ = 1;
+    double max_units_ = 1;
 };
 
 }  // namespace silverreach::platform
--- a/src/platform/targets.cpp
+++ b/src/platform/targets.cpp
@@ -6,30 +6,32 @@
 namespace {
 namespace json = silverreach::settings_json;
 
-EndpointStatus state_of(std::string_view text) {
+EndpointStatus parse_state(std::string_view text) {
     if (text == "ready") return EndpointStatus::available;
     if (text == "draining") return EndpointStatus::draining;
     if (text == "gone") return EndpointStatus::removed;
     throw json::ValueError("state", "ready, draining or gone");
 }
 
-Target read_target(json::object o) {
-    Target t;
-    t.entry.id = json::as_text(json::required(o, "uid"), "uid");
-    if (t.entry.id.empty()) throw json::ValueError("uid", "a name");
-    t.entry.status = state_of(json::as_text(json::required(o, "state"), "state"));
-    if (const auto e = json::optional_key(o, "az")) t.entry.zone = json::as_text(*e, "az");
-    if (const auto e = json::optional_key(o, "model")) t.entry.kind = json::as_text(*e, "model");
-    if (const auto e = json::optional_key(o, "pod_group"))
-        t.entry.cell = json::as_integer(*e, "pod_group");
-    json::read(o, "capacity_hint", t.entry.weight);
-    if (const auto e = json::optional_key(o, "boot_ms"))
-        t.entry.started_at = std::chrono::milliseconds(json::as_integer(*e, "boot_ms"));
-    if (const auto e = json::optional_key(o, "endpoint"))
-        t.endpoint = config::parse_endpoint(json::as_text(*e, "endpoint"));
-    if (!t.endpoint && t.entry.status != EndpointStatus::removed)
+Target read_target(json::object object) {
+    Target target;
+    target.entry.id = json::as_text(json::required(object, "uid"), "uid");
+    if (target.entry.id.empty()) throw json::ValueError("uid", "a name");
+    target.entry.status = parse_state(json::as_text(json::required(object, "state"), "state"));
+    if (const auto value = json::optional_key(object, "az"))
+        target.entry.zone = json::as_text(*value, "az");
+    if (const auto value = json::optional_key(object, "model"))
+        target.entry.kind = json::as_text(*value, "model");
+    if (const auto value = json::optional_key(object, "pod_group"))
+        target.entry.cell = json::as_integer(*value, "pod_group");
+    json::read(object, "capacity_hint", target.entry.weight);
+    if (const auto value = json::optional_key(object, "boot_ms"))
+        target.entry.started_at = std::chrono::milliseconds(json::as_integer(*value, "boot_ms"));
+    if (const auto value = json::optional_key(object, "endpoint"))
+        target.endpoint = config::parse_endpoint(json::as_text(*value, "endpoint"));
+    if (!target.endpoint && target.entry.status != EndpointStatus::removed)
         throw json::ValueError("endpoint", "an IP address and port");
-    return t;
+    return target;
 }
 }  // namespace
 
@@ -37,8 +39,8 @@
     TargetList list;
     list.revision = json::as_integer(json::required(object, "rev"), "rev");
     list.whole = json::as_bool(json::required(object, "all"), "all");
-    for (json::element e : json::as_array(json::required(object, "targets"), "targets"))
-        list.targets.push_back(read_target(json::as_object(e, "targets[]")));
+    for (json::element target : json::as_array(json::required(object, "targets"), "targets"))
+        list.targets.push_back(read_target(json::as_object(target, "targets[]")));
     return list;
 } catch (const json::ValueError&) {
     return std::nullopt;
@@ -46,9 +48,10 @@
 
 std::optional<TargetList> read_targets(std::string_view text) {
     simdjson::dom::parser parser;
-    json::object o;
-    if (parser.parse(text.data(), text.size()).get(o) != simdjson::SUCCESS) return std::nullopt;
-    return read_targets(o);
+    json::object object;
+    if (parser.parse(text.data(), text.size()).get(object) != simdjson::SUCCESS)
+        return std::nullopt;
+    return read_targets(object);
 }
 
 }  // namespace silverreach::platform
