--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -148,7 +148,7 @@
     const auto description = openapi::load(*text, path, policy, problems);
     print(problems);
     if (!description) return Exit::bad_answer;
-    std::cout << openapi::table_text(*description);
+    std::cout << openapi::format_routes(*description);
     if (config_path.empty())
         std::cout << "Without a configuration: class 'default' and 1 unit where none is given.\n";
     else if (policy.reject_unpriced)
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -50,7 +50,8 @@
     upstream.max_connections = sockets / 2;
     upstream.connect_timeout = config_.connect_timeout;
     upstream.health_check_timeout = config_.connect_timeout;
-    upstream.idle_timeout = std::max<Micros>(config_.idle / 2, config_.idle - idle_reserve);
+    upstream.idle_timeout =
+        std::max<Micros>(config_.idle_timeout / 2, config_.idle_timeout - idle_reserve);
     upstream.max_buffered_bytes =
         static_cast<std::size_t>(config_.limits.memory_mb) * 1024 * 1024 / 8;
     upstream.request_load_report = config_.settings.load_report_mode != LoadReportMode::none;
@@ -58,12 +59,12 @@
         loop, upstream, static_cast<upstream_resp::AttemptCallbacks&>(*this));
     if (config_.peer_listen && config_.settings.may_message_peers)
         peers_ = std::make_unique<peers::RawTransport>(
-            loop, *config_.peer_listen, config_.peers, config_.peers_all, config_.settings.rank,
+            loop, *config_.peer_listen, config_.peers, config_.broadcast, config_.settings.rank,
             [this](int rank, std::string bytes) {
                 core_->on_peer_message(now(), {rank, std::move(bytes)});
             });
-    platform::TargetList known = config_.known;
-    known.whole = true;
+    platform::TargetList known = config_.initial_list;
+    known.complete = true;
     hosts_changed(known);
     frontend::resp::FrontendLimits limits;
     const std::size_t clients = sockets - upstream.max_connections;
@@ -86,7 +87,8 @@
     callbacks.on_unavailable = [this](const discovery::DiscoveryError& error) {
         log_.write(log::Level::warning, "discovery_lost", {{"why", error.message()}});
     };
-    const std::int64_t from = config_.known.targets.empty() ? -1 : config_.known.revision;
+    const std::int64_t from =
+        config_.initial_list.targets.empty() ? -1 : config_.initial_list.revision;
     discovery_watch_ = std::make_unique<discovery::DiscoveryWatch>(loop, config_.discovery, from,
                                                                    std::move(callbacks));
 }
@@ -100,11 +102,11 @@
 void Node::hosts_changed(const platform::TargetList& list) {
     log_.write(log::Level::info, "hosts",
                {{"revision", list.revision},
-                {"whole", std::int64_t{list.whole}},
+                {"whole", std::int64_t{list.complete}},
                 {"listed", whole(list.targets.size())}});
     upstream_->update_hosts(list);
     EndpointsChanged change;
-    change.complete = list.whole;
+    change.complete = list.complete;
     for (const platform::Target& t : list.targets)
         change.endpoints.push_back(t.entry);
     core_->on_endpoints_changed(now(), std::move(change));
@@ -239,7 +241,7 @@
             {"instances", std::int64_t{config_.settings.instance_count}},
             {"memory_mb", config_.limits.memory_mb},
             {"sockets", std::int64_t{config_.limits.sockets}},
-            {"host_idle_ms", ms(config_.idle)},
+            {"host_idle_ms", ms(config_.idle_timeout)},
             {"host_connect_ms", ms(config_.connect_timeout)}};
 }
 
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -45,13 +45,13 @@
     }
     void on_body(std::string_view bytes) override {
         while (!closed_ && !bytes.empty()) {
-            const bool was_between = objects_.between();
-            const auto progress = objects_.look(bytes);
-            if (progress == platform::ObjectReader::Got::broken)
-                return end_malformed(std::string(objects_.why()));
-            if (progress == platform::ObjectReader::Got::whole)
+            const bool was_between = objects_.is_between_objects();
+            const auto progress = objects_.read(bytes);
+            if (progress == platform::ObjectReader::Status::malformed)
+                return end_malformed(std::string(objects_.error()));
+            if (progress == platform::ObjectReader::Status::complete)
                 on_object(objects_.take());
-            else if (was_between && objects_.between())
+            else if (was_between && objects_.is_between_objects())
                 last_activity_ = watch_.loop_.now();
         }
     }
@@ -165,8 +165,8 @@
 // An older revision or an empty list. Accepted where the service repeats it when the complete list
 // is requested.
 bool DiscoveryWatch::is_implausible(const platform::TargetList& list) {
-    const bool suspicious = list.revision < revision_ || (list.whole && list.targets.empty());
-    const bool confirmed = list.whole && unconfirmed_revision_ == list.revision;
+    const bool suspicious = list.revision < revision_ || (list.complete && list.targets.empty());
+    const bool confirmed = list.complete && unconfirmed_revision_ == list.revision;
     unconfirmed_revision_.reset();
     if (!suspicious || confirmed) return false;
     unconfirmed_revision_ = list.revision;
--- a/src/frontend/http/request_parameters.cpp
+++ b/src/frontend/http/request_parameters.cpp
@@ -6,7 +6,7 @@
 namespace silverreach::frontend::http {
 namespace {
 using openapi::Carrier;
-using openapi::Place;
+using openapi::ParameterLocation;
 
 // Of a query: percent escapes, and '+' for a space. A malformed escape stays as it is.
 std::string decode_query(std::string_view text) {
@@ -51,7 +51,7 @@
 }
 
 std::vector<std::string> path_values(std::string_view name,
-                                     const openapi::RouteTable::Found* path_parameters) {
+                                     const openapi::RouteTable::Match* path_parameters) {
     std::vector<std::string> values;
     if (!path_parameters) return values;
     for (const auto& [parameter, value] : path_parameters->parameters)
@@ -108,15 +108,15 @@
 
 std::vector<std::string> parameter_values(const Carrier& carrier, const wire::Head& head,
                                           std::string_view query,
-                                          const openapi::RouteTable::Found* path_parameters) {
-    switch (carrier.place) {
-        case Place::query:
+                                          const openapi::RouteTable::Match* path_parameters) {
+    switch (carrier.location) {
+        case ParameterLocation::query:
             return query_values(query, carrier.name);
-        case Place::cookie:
+        case ParameterLocation::cookie:
             return cookie_values(head.fields, carrier.name);
-        case Place::path:
+        case ParameterLocation::path:
             return path_values(carrier.name, path_parameters);
-        case Place::header:
+        case ParameterLocation::header:
             return header_values(carrier, head.fields);
     }
     return {};
--- a/src/frontend/http/request_parameters.h
+++ b/src/frontend/http/request_parameters.h
@@ -29,6 +29,6 @@
 // was found; nullptr: none.
 std::vector<std::string> parameter_values(const openapi::Carrier& carrier, const wire::Head& head,
                                           std::string_view query,
-                                          const openapi::RouteTable::Found* path_parameters);
+                                          const openapi::RouteTable::Match* path_parameters);
 
 }  // namespace silverreach::frontend::http
--- a/src/frontend/http/request_resolver.cpp
+++ b/src/frontend/http/request_resolver.cpp
@@ -62,7 +62,7 @@
 std::optional<RequestError> RequestResolver::resolve(const wire::Head& head,
                                                      const openapi::Description& description,
                                                      ResolvedRequest& into) const {
-    const auto method = openapi::method_of(head.method);
+    const auto method = openapi::parse_method(head.method);
     if (!method)
         return RequestError{501, "Unknown method",
                             fmt::format("no description can have {}", head.method)};
@@ -70,11 +70,12 @@
     if (!target) return bad_request("Bad target", "expected a path, or an absolute http URL");
     if (auto error = check_path(target->path)) return error;
     const auto found = description.table.find(*method, target->path);
-    if (!found.path_known)
+    if (!found.is_path_known)
         return RequestError{404, "Unknown path", "the description has no such path"};
     if (!found.route)
         return RequestError{405, "Method not allowed",
-                            "the description has the path with other methods", found.allowed};
+                            "the description has the path with other methods",
+                            found.allowed_methods};
     into.route = found.route;
     if (auto error = resolve_class(head, into)) return error;
     if (auto error = resolve_account(head, target->query, into)) return error;
@@ -90,10 +91,10 @@
     if (auto error = check_connection_field(head.fields)) return error;
     const openapi::Route& route = *into.route;
     const std::string* key = wire::find(head.fields, "Idempotency-Key");
-    if (!key && route.key_required)
+    if (!key && route.idempotency_key_required)
         return bad_request("Missing Idempotency-Key", "the operation requires it");
     // Where the key may be absent, a request without one must not be repeated.
-    Idempotency idempotency = route.effect;
+    Idempotency idempotency = route.idempotency;
     if (idempotency == Idempotency::idempotency_key && (!key || key->empty()))
         idempotency = Idempotency::non_idempotent;
     into.request_class = config::class_index(config_, route.request_class, idempotency);
@@ -106,10 +107,10 @@
                                                              std::string_view query,
                                                              ResolvedRequest& into) const {
     std::set<std::string> keys;
-    for (const Carrier& carrier : into.route->keys)
+    for (const Carrier& carrier : into.route->key_carriers)
         for (std::string& value : parameter_values(carrier, head, query, nullptr))
             keys.insert(std::move(value));
-    if (keys.empty() && into.route->anonymous) return std::nullopt;
+    if (keys.empty() && into.route->allows_anonymous) return std::nullopt;
     if (keys.empty()) return key_error("Key missing", "the operation needs an account's key");
     if (keys.size() > 1)
         return key_error("More than one key", "the request carries different keys");
@@ -121,7 +122,7 @@
 
 std::optional<RequestError> RequestResolver::resolve_units(const wire::Head& head,
                                                            std::string_view query,
-                                                           const openapi::RouteTable::Found& found,
+                                                           const openapi::RouteTable::Match& found,
                                                            ResolvedRequest& into) const {
     into.units = into.route->units;
     if (!into.route->units_from) return std::nullopt;
@@ -129,12 +130,12 @@
     const auto values = parameter_values(carrier, head, query, &found);
     if (values.empty()) return std::nullopt;
     const auto value = parse_number<double>(values.front());
-    const double max_units = openapi::Policy{}.most_units;
+    const double max_units = openapi::Policy{}.max_units;
     // Written so that NaN is an error.
     if (values.size() > 1 || !value || !(*value >= 0 && *value <= max_units))
         return bad_request("Bad units",
                            fmt::format("{} {}: expected one number from 0 to {}",
-                                       to_string(carrier.place), carrier.name, max_units));
+                                       to_string(carrier.location), carrier.name, max_units));
     into.units = *value;
     return std::nullopt;
 }
--- a/src/frontend/http/request_resolver.h
+++ b/src/frontend/http/request_resolver.h
@@ -50,7 +50,7 @@
     std::optional<RequestError> resolve_account(const wire::Head& head, std::string_view query,
                                                 ResolvedRequest& into) const;
     std::optional<RequestError> resolve_units(const wire::Head& head, std::string_view query,
-                                              const openapi::RouteTable::Found& found,
+                                              const openapi::RouteTable::Match& found,
                                               ResolvedRequest& into) const;
     std::optional<RequestError> resolve_deadline(const wire::Head& head,
                                                  ResolvedRequest& into) const;
--- a/src/frontend/resp/frontend.cpp
+++ b/src/frontend/resp/frontend.cpp
@@ -41,7 +41,7 @@
                                                                std::move(fd), waiting_since);
                    }) {}
 
-std::shared_ptr<const platform::OutCommand> Frontend::upstream_command(RequestId id) const {
+std::shared_ptr<const platform::UpstreamCommand> Frontend::upstream_command(RequestId id) const {
     const RequestInFlight* request = context_.requests.find(id);
     return request ? request->command : nullptr;
 }
--- a/src/frontend/resp/frontend.h
+++ b/src/frontend/resp/frontend.h
@@ -38,7 +38,7 @@
 
     // ---- requests; an id that is not in flight is ignored ----
     // The command for hosts; nullptr: not in flight.
-    std::shared_ptr<const platform::OutCommand> upstream_command(RequestId id) const;
+    std::shared_ptr<const platform::UpstreamCommand> upstream_command(RequestId id) const;
     // As the client named the request; 0: not in flight.
     std::uint64_t client_id(RequestId id) const;
     // Sends a rejection or failure.
--- a/src/frontend/resp/request_table.h
+++ b/src/frontend/resp/request_table.h
@@ -19,7 +19,7 @@
     std::uint64_t response_number = 0;     // in the connection's ResponseQueue
     std::uint64_t client_id = 0;           // as the client named the request
     event::Micros received_at{0};          // on the loop's clock
-    std::shared_ptr<const platform::OutCommand> command;
+    std::shared_ptr<const platform::UpstreamCommand> command;
 };
 
 // Finds requests by their id and by the id that the client gave.
--- a/src/frontend/resp/resp_connection.cpp
+++ b/src/frontend/resp/resp_connection.cpp
@@ -164,16 +164,17 @@
     if (context_.requests.has_client_id(request.id))
         return reject_command("id: a request of that name is open");
     const Micros drain_remaining = manager().drain().time_remaining(loop().now());
-    Micros& time_remaining = request.attempt.time_remaining;
+    Micros& time_remaining = request.client_request.time_remaining;
     time_remaining = std::min(time_remaining - waited, drain_remaining) - response_margin;
     if (time_remaining <= 0us) return responses_.add_ready("-BUSY\r\n");
     throttle_.on_valid();
     const RequestId id = context_.core.next_id();
     const std::uint64_t number = responses_.add_pending(id);
-    context_.requests.add(id,
-                          {this, number, request.id, loop().now(),
-                           std::make_shared<const platform::OutCommand>(std::move(request.out))});
-    context_.core.start_request(context_.clock(), id, request.attempt);
+    context_.requests.add(
+        id,
+        {this, number, request.id, loop().now(),
+         std::make_shared<const platform::UpstreamCommand>(std::move(request.upstream_command))});
+    context_.core.start_request(context_.clock(), id, request.client_request);
 }
 
 void RespConnection::reject_command(std::string_view why) {
--- a/src/openapi/description.cpp
+++ b/src/openapi/description.cpp
@@ -245,11 +245,11 @@
                 const std::string in = read_scalar(*scheme, "in", "");
                 carrier.name = read_scalar(*scheme, "name", "");
                 if (in == "header")
-                    carrier.place = Place::header;
+                    carrier.location = ParameterLocation::header;
                 else if (in == "query")
-                    carrier.place = Place::query;
+                    carrier.location = ParameterLocation::query;
                 else if (in == "cookie")
-                    carrier.place = Place::cookie;
+                    carrier.location = ParameterLocation::cookie;
                 else
                     add_problem(member_or_parent(*scheme, "in"), field + ".in",
                                 "header, query or cookie");
@@ -277,9 +277,9 @@
         if (!security) return;
         if (!security->is(Kind::sequence))
             return add_problem(*security, field + ".security", "a list");
-        route.anonymous = security->items.empty();
+        route.allows_anonymous = security->items.empty();
         for (const Value& alternative : security->items) {
-            if (alternative.members.empty()) route.anonymous = true;
+            if (alternative.members.empty()) route.allows_anonymous = true;
             std::optional<Carrier> key_carrier;
             for (const auto& [name, scopes] : alternative.members) {
                 const auto scheme = schemes_.find(name);
@@ -289,11 +289,11 @@
                 else if (scheme->second && !key_carrier)
                     key_carrier = scheme->second;
             }
-            if (key_carrier &&
-                std::find(route.keys.begin(), route.keys.end(), *key_carrier) == route.keys.end())
-                route.keys.push_back(*key_carrier);
+            if (key_carrier && std::find(route.key_carriers.begin(), route.key_carriers.end(),
+                                         *key_carrier) == route.key_carriers.end())
+                route.key_carriers.push_back(*key_carrier);
         }
-        if (!route.anonymous && route.keys.empty())
+        if (!route.allows_anonymous && route.key_carriers.empty())
             add_problem(*security, field + ".security",
                         "an apiKey or http bearer scheme among the alternatives");
     }
@@ -317,10 +317,11 @@
             if (!parameter) continue;
             const std::string name = read_scalar(*parameter, "name", ""),
                               in = read_scalar(*parameter, "in", "");
-            static const std::map<std::string, Place> locations = {{"header", Place::header},
-                                                                   {"query", Place::query},
-                                                                   {"cookie", Place::cookie},
-                                                                   {"path", Place::path}};
+            static const std::map<std::string, ParameterLocation> locations = {
+                {"header", ParameterLocation::header},
+                {"query", ParameterLocation::query},
+                {"cookie", ParameterLocation::cookie},
+                {"path", ParameterLocation::path}};
             const auto location = locations.find(in);
             if (name.empty() || location == locations.end()) {
                 add_problem(*parameter, field + ".parameters[]",
@@ -426,8 +427,8 @@
         if (const Value* value = root_->find(full_name)) return {value, "root"};
         return {};
     }
-    static std::string origin_text(const ExtensionValue& found) {
-        return fmt::format("{}:{}", found.level, found.value->line);
+    static std::string origin_text(const ExtensionValue& extension) {
+        return fmt::format("{}:{}", extension.level, extension.value->line);
     }
 
     void read_operation(Method method, const std::string& path, const Value& item,
@@ -476,10 +477,9 @@
         const ExtensionValue units_from = nearest_extension("units-from", operation, item);
         if (units.value) {
             route.units_origin = origin_text(units);
-            if (!units.value->as(route.units) || route.units < 0 ||
-                route.units > policy_.most_units)
+            if (!units.value->as(route.units) || route.units < 0 || route.units > policy_.max_units)
                 add_problem(*units.value, field + " x-silverreach-units",
-                            fmt::format("a number from 0 to {}", policy_.most_units));
+                            fmt::format("a number from 0 to {}", policy_.max_units));
         } else if (policy_.reject_unpriced) {
             add_problem(operation, field,
                         "a cost (x-silverreach-units here, on the path or the root)");
@@ -510,24 +510,24 @@
                           const Parameters& parameters, const std::string& field) {
         const auto key_parameter = parameters.find({"header", "idempotency-key"});
         const bool has_key = key_parameter != parameters.end();
-        route.key_required = has_key && key_parameter->second.required;
+        route.idempotency_key_required = has_key && key_parameter->second.required;
         const bool is_idempotent_method =
             route.method != Method::post && route.method != Method::patch;
-        route.effect = is_idempotent_method ? Idempotency::idempotent
-                       : has_key            ? Idempotency::idempotency_key
-                                            : Idempotency::non_idempotent;
-        route.effect_origin = is_idempotent_method ? "method"
-                              : has_key            ? "Idempotency-Key"
-                                                   : "method";
+        route.idempotency = is_idempotent_method ? Idempotency::idempotent
+                            : has_key            ? Idempotency::idempotency_key
+                                                 : Idempotency::non_idempotent;
+        route.idempotency_origin = is_idempotent_method ? "method"
+                                   : has_key            ? "Idempotency-Key"
+                                                        : "method";
         const ExtensionValue extension = nearest_extension("effect", operation, item);
         if (!extension.value) return;
-        route.effect_origin = origin_text(extension);
+        route.idempotency_origin = origin_text(extension);
         if (extension.value->text == "safe")
-            route.effect = Idempotency::idempotent;
+            route.idempotency = Idempotency::idempotent;
         else if (extension.value->text == "unsafe")
-            route.effect = Idempotency::non_idempotent;
+            route.idempotency = Idempotency::non_idempotent;
         else if (extension.value->text == "keyed" && has_key)
-            route.effect = Idempotency::idempotency_key;
+            route.idempotency = Idempotency::idempotency_key;
         else if (extension.value->text == "keyed")
             add_problem(
                 *extension.value, field + " x-silverreach-effect",
@@ -547,11 +547,11 @@
 
 std::string format_key_carriers(const Route& route) {
     std::string text;
-    for (const Carrier& carrier : route.keys)
+    for (const Carrier& carrier : route.key_carriers)
         text += (text.empty() ? "" : ", ") +
                 (carrier.bearer ? "bearer"
-                                : fmt::format("{} {}", to_string(carrier.place), carrier.name));
-    if (route.anonymous) text += text.empty() ? "none" : ", or none";
+                                : fmt::format("{} {}", to_string(carrier.location), carrier.name));
+    if (route.allows_anonymous) text += text.empty() ? "none" : ", or none";
     return text;
 }
 }  // namespace
@@ -563,7 +563,7 @@
     return Loader(file, policy, problems).load(root);
 }
 
-std::string table_text(const Description& description) {
+std::string format_routes(const Description& description) {
     constexpr std::array<std::string_view, 3> effect_names = {"safe", "keyed", "unsafe"};
     std::vector<std::array<std::string, 7>> rows = {
         {"METHOD", "PATH", "CLASS", "UNITS", "EFFECT", "KEY", "FROM"}};
@@ -571,10 +571,10 @@
         rows.push_back({std::string(method_names[static_cast<std::size_t>(route->method)]),
                         route->path, route->request_class,
                         fmt::format("{:g}{}", route->units, route->units_from ? "*" : ""),
-                        std::string(effect_names[static_cast<std::size_t>(route->effect)]),
+                        std::string(effect_names[static_cast<std::size_t>(route->idempotency)]),
                         format_key_carriers(*route),
                         fmt::format("class {}, units {}, effect {}", route->class_origin,
-                                    route->units_origin, route->effect_origin)});
+                                    route->units_origin, route->idempotency_origin)});
     std::array<std::size_t, 7> widths{};
     for (const auto& row : rows)
         for (std::size_t i = 0; i < row.size(); ++i)
--- a/src/openapi/description.h
+++ b/src/openapi/description.h
@@ -25,7 +25,7 @@
         true;  // an operation without class or units is an error, else these count:
     std::string default_class;
     double default_units = 1;
-    double most_units = 4095;  // what a message between gateways can carry
+    double max_units = 4095;  // what a message between gateways can carry
 };
 
 struct Description {
@@ -39,6 +39,6 @@
                                         const Policy& policy, std::vector<Problem>& problems);
 
 // The routes as a table for people.
-std::string table_text(const Description& description);
+std::string format_routes(const Description& description);
 
 }  // namespace silverreach::openapi
--- a/src/openapi/route.cpp
+++ b/src/openapi/route.cpp
@@ -25,15 +25,15 @@
 }
 }  // namespace
 
-std::optional<Method> method_of(std::string_view name) {
+std::optional<Method> parse_method(std::string_view name) {
     for (std::size_t i = 0; i < method_names.size(); ++i)
         if (method_names[i] == name) return static_cast<Method>(i);
     return std::nullopt;
 }
 
-std::string_view to_string(Place place) {
+std::string_view to_string(ParameterLocation location) {
     constexpr std::array<std::string_view, 4> names = {"header", "query", "cookie", "path"};
-    return names[static_cast<std::size_t>(place)];
+    return names[static_cast<std::size_t>(location)];
 }
 
 // A template segment is literal text around names: "{id}", "{id}.json", "{from}-{to}".
@@ -152,29 +152,29 @@
     return nullptr;
 }
 
-RouteTable::Found RouteTable::find(Method method, std::string_view path) const {
-    Found found;
+RouteTable::Match RouteTable::find(Method method, std::string_view path) const {
+    Match match;
     std::vector<std::string> values;
     const Node* node =
         path.empty() || path.front() != '/' ? nullptr : find_node(*root_, path, values);
-    if (!node) return found;
-    found.path_known = true;
+    if (!node) return match;
+    match.is_path_known = true;
     const auto index_of = [](Method candidate) { return static_cast<std::size_t>(candidate); };
     auto method_index = index_of(method);
     if (!node->routes[method_index] && method == Method::head) method_index = index_of(Method::get);
     if (node->routes[method_index]) {
-        found.route = node->routes[method_index];
+        match.route = node->routes[method_index];
         for (std::size_t i = 0; i < values.size(); ++i)
-            found.parameters.emplace_back(node->parameter_names[method_index][i],
+            match.parameters.emplace_back(node->parameter_names[method_index][i],
                                           std::move(values[i]));
-        return found;
+        return match;
     }
     for (std::size_t i = 0; i < node->routes.size(); ++i) {
         const auto candidate = static_cast<Method>(i);
         if (node->routes[i] || (candidate == Method::head && node->routes[index_of(Method::get)]))
-            found.allowed.push_back(candidate);
+            match.allowed_methods.push_back(candidate);
     }
-    return found;
+    return match;
 }
 
 std::optional<std::string> decode_segment(std::string_view segment) {
--- a/src/openapi/route.h
+++ b/src/openapi/route.h
@@ -27,19 +27,19 @@
 };
 inline constexpr std::array<std::string_view, 8> method_names = {
     "GET", "PUT", "POST", "DELETE", "OPTIONS", "HEAD", "PATCH", "TRACE"};
-std::optional<Method> method_of(std::string_view name);  // as HTTP writes it, case counts
+std::optional<Method> parse_method(std::string_view name);  // as HTTP writes it, case counts
 
-enum class Place {
+enum class ParameterLocation {
     header,
     query,
     cookie,
     path
 };
-std::string_view to_string(Place place);
+std::string_view to_string(ParameterLocation location);
 
 // Where a request carries something: an account's key, or its units.
 struct Carrier {
-    Place place = Place::header;
+    ParameterLocation location = ParameterLocation::header;
     std::string name;
     bool bearer = false;  // the Authorization header's Bearer token
     bool operator==(const Carrier&) const = default;
@@ -52,12 +52,12 @@
     std::string request_class;
     double units = 1;
     std::optional<Carrier> units_from;  // overrides `units` where the request has it
-    Idempotency effect = Idempotency::idempotent;
-    bool key_required = false;  // the request must carry Idempotency-Key
-    std::vector<Carrier> keys;  // where the account's key may be, first match wins
-    bool anonymous = true;      // a request without a key is taken
-    std::string class_origin, units_origin, effect_origin;  // for people: where each came from
-    int line = 0;                                           // of the operation
+    Idempotency idempotency = Idempotency::idempotent;
+    bool idempotency_key_required = false;  // the request must carry Idempotency-Key
+    std::vector<Carrier> key_carriers;      // where the account's key may be, first match wins
+    bool allows_anonymous = true;           // a request without a key is taken
+    std::string class_origin, units_origin, idempotency_origin;  // for people: where each came from
+    int line = 0;                                                // of the operation
 };
 
 // Path templates in a tree by segment: literals before templates, as the specification orders; a
@@ -71,15 +71,15 @@
     const Route* add(Route route);
     const std::vector<std::unique_ptr<Route>>& routes() const { return routes_; }
 
-    struct Found {
+    struct Match {
         const Route* route = nullptr;
-        bool path_known = false;  // some method is known for the path
-        std::vector<Method> allowed;
+        bool is_path_known = false;  // some method is known for the path
+        std::vector<Method> allowed_methods;
         std::vector<std::pair<std::string, std::string>> parameters;
     };
     // `path`: absolute, without query, not normalized: dot segments are the caller's to refuse. A
     // GET route also takes HEAD.
-    Found find(Method method, std::string_view path) const;
+    Match find(Method method, std::string_view path) const;
 
   private:
     struct Node;
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -71,7 +71,7 @@
     if (const auto value = json::optional_key(root, "limits"))
         read_limits(json::as_object(*value, "limits"), result.limits);
     result.peer_listen = read_optional_endpoint(root, "peer_listen");
-    result.peers_all = read_optional_endpoint(root, "peers_all");
+    result.broadcast = read_optional_endpoint(root, "peers_all");
     if (const auto value = json::optional_key(root, "peers"))
         for (json::element peer : json::as_array(*value, "peers"))
             result.peers.push_back(read_endpoint(json::as_text(peer, "peers[]"), "peers[]"));
@@ -83,13 +83,13 @@
         fail("peers", "one address for each instance of the settings");
     const json::object ceilings = json::as_object(json::required(settings, "ceilings"), "ceilings");
     json::read(ceilings, "connectTimeoutUs", result.connect_timeout);
-    json::read(ceilings, "connIdleUs", result.idle);
+    json::read(ceilings, "connIdleUs", result.idle_timeout);
     if (const auto value = json::optional_key(settings, "familyInfo"))
-        json::read(json::as_object(*value, "familyInfo"), "unitsTop", result.most_units);
+        json::read(json::as_object(*value, "familyInfo"), "unitsTop", result.max_units);
     if (const auto value = json::optional_key(root, "known")) {
         const auto list = read_targets(json::as_object(*value, "known"));
         if (!list) fail("known", "a list of hosts in discovery's form");
-        result.known = *list;
+        result.initial_list = *list;
     }
     return result;
 }
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -23,13 +23,13 @@
     config::Endpoint listen, discovery;
     std::uint64_t seed = 0;
     NodeLimits limits;
-    std::optional<config::Endpoint> peer_listen, peers_all;
+    std::optional<config::Endpoint> peer_listen, broadcast;
     std::vector<config::Endpoint> peers;  // by rank, the own one included
-    TargetList known;                     // may be old
+    TargetList initial_list;              // may be old
     Settings settings;
     // settings that the module has no use for
-    Micros connect_timeout{250'000}, idle{15'000'000};  // of a connection to a host
-    double most_units = 1;                              // that one request counts
+    Micros connect_timeout{250'000}, idle_timeout{15'000'000};  // of a connection to a host
+    double max_units = 1;                                       // that one request counts
 };
 
 // Throws std::invalid_argument with one plain line that names the variable or the key. `variable`
--- a/src/platform/object_reader.cpp
+++ b/src/platform/object_reader.cpp
@@ -5,11 +5,12 @@
 
 namespace silverreach::platform {
 
-ObjectReader::Got ObjectReader::look(std::string_view& bytes) {
+ObjectReader::Status ObjectReader::read(std::string_view& bytes) {
     if (depth_ == 0) {
         bytes.remove_prefix(std::min(bytes.find_first_not_of(" \t\r\n"), bytes.size()));
-        if (bytes.empty()) return Got::more;
-        if (bytes.front() != '{') return error_ = "something else than an object", Got::broken;
+        if (bytes.empty()) return Status::incomplete;
+        if (bytes.front() != '{')
+            return error_ = "something else than an object", Status::malformed;
     }
     std::size_t length = 0;
     bool is_complete = false;
@@ -18,7 +19,7 @@
         if (in_string_) {
             // A text never holds a line's end: the object was torn and another line has begun.
             if (static_cast<unsigned char>(character) < ' ')
-                return error_ = "a text that does not end", Got::broken;
+                return error_ = "a text that does not end", Status::malformed;
             in_string_ = escaped_ || character != '"';
             escaped_ = !escaped_ && character == '\\';
         } else if (character == '"') {
@@ -31,8 +32,9 @@
     }
     object_.append(bytes.substr(0, length));
     bytes.remove_prefix(length);
-    if (object_.size() > max_object_bytes_) return error_ = "an object without end", Got::broken;
-    return is_complete ? Got::whole : Got::more;
+    if (object_.size() > max_object_bytes_)
+        return error_ = "an object without end", Status::malformed;
+    return is_complete ? Status::complete : Status::incomplete;
 }
 
 std::string ObjectReader::take() {
--- a/src/platform/object_reader.h
+++ b/src/platform/object_reader.h
@@ -10,18 +10,18 @@
 
 class ObjectReader {
   public:
-    enum class Got {
-        more,
-        whole,
-        broken
+    enum class Status {
+        incomplete,
+        complete,
+        malformed
     };
     explicit ObjectReader(std::size_t max_object_bytes = std::size_t{1024} * 1024)
         : max_object_bytes_(max_object_bytes) {}
     // Takes bytes off the front of `bytes` until an object is whole, or all are taken.
-    Got look(std::string_view& bytes);
-    std::string take();                              // the whole object; the next one begins
-    bool between() const { return depth_ == 0; }     // no object has begun
-    std::string_view why() const { return error_; }  // it is broken
+    Status read(std::string_view& bytes);
+    std::string take();  // the whole object; the next one begins
+    bool is_between_objects() const { return depth_ == 0; }  // no object has begun
+    std::string_view error() const { return error_; }        // it is broken
 
   private:
     std::size_t max_object_bytes_;
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -40,18 +40,18 @@
 }
 }  // namespace
 
-std::string OutCommand::with(Micros remaining) const {
+std::string UpstreamCommand::serialize(Micros remaining) const {
     // Rounded down, so that no host works past the time; never nothing.
     const auto remaining_ms =
         std::max<std::int64_t>(1, std::chrono::floor<std::chrono::milliseconds>(remaining).count());
-    std::string bytes = head;
-    resp::append_bulk(bytes, before + std::to_string(remaining_ms) + after);
-    return bytes += tail;
+    std::string bytes = prefix;
+    resp::append_bulk(bytes,
+                      list_before_deadline + std::to_string(remaining_ms) + list_after_deadline);
+    return bytes += suffix;
 }
 
 CommandValidator::CommandValidator(const NodeConfig& config)
-    : instance_count_(config.settings.instance_count),
-      max_units_(std::max(1.0, config.most_units)) {
+    : instance_count_(config.settings.instance_count), max_units_(std::max(1.0, config.max_units)) {
     const Settings& settings = config.settings;
     for (std::size_t i = 0; i < settings.classes.size(); ++i) {
         const RequestClass& request_class = settings.classes[i];
@@ -80,7 +80,7 @@
     const auto id = parse_hex_id(arguments[2]);
     if (!id) return reject("id: expected 16 hex digits");
     request.id = *id;
-    request.attempt.account = arguments[1];
+    request.client_request.account = arguments[1];
     const std::string_view list = arguments[3];
     if (list.size() > max_list_bytes) return reject("list of values: too long");
 
@@ -113,8 +113,8 @@
             remaining_ms = parse_number<std::int64_t>(value);
             if (!remaining_ms || *remaining_ms < 1 || *remaining_ms > max_deadline_ms)
                 return reject("d: expected milliseconds above 0");
-            request.out.before = list.substr(0, pair_start + equals + 1);
-            request.out.after = list.substr(pair_end);
+            request.upstream_command.list_before_deadline = list.substr(0, pair_start + equals + 1);
+            request.upstream_command.list_after_deadline = list.substr(pair_end);
         } else if (name == "units") {
             units = parse_number<double>(value, std::chars_format::fixed);
             if (!units || !(*units > 0 && *units <= max_units_))
@@ -138,22 +138,23 @@
     if (!plan && !plans_.empty()) return reject("t: missing");
     if (request_class->is_idempotent != is_query) return reject("c: of the other command");
     if (request_class->needs_key && !has_key) return reject("k: missing");
-    request.attempt.request_class = request_class->index;
-    request.out.repeatable = request_class->is_idempotent || request_class->needs_key;
-    request.attempt.plan = plan.value_or(-1);
-    request.attempt.units = units.value_or(1);
+    request.client_request.request_class = request_class->index;
+    request.upstream_command.is_idempotent =
+        request_class->is_idempotent || request_class->needs_key;
+    request.client_request.plan = plan.value_or(-1);
+    request.client_request.units = units.value_or(1);
     // A class's deadline is the whole patience of its clients; a longer one only holds state here.
-    request.attempt.time_remaining =
+    request.client_request.time_remaining =
         std::min<Micros>(std::chrono::milliseconds(*remaining_ms), request_class->deadline);
     if (subset_size.has_value() != subset_start.has_value())
         return reject("spread and first: only together");
     if (subset_size)
-        request.attempt.subset =
+        request.client_request.subset =
             core::AccountSubset{static_cast<int>(*subset_size), static_cast<int>(*subset_start)};
-    resp::append_array(request.out.head, arguments.size());
+    resp::append_array(request.upstream_command.prefix, arguments.size());
     for (std::size_t i = 0; i < 3; ++i)
-        resp::append_bulk(request.out.head, arguments[i]);
-    if (!is_query) resp::append_bulk(request.out.tail, arguments[4]);
+        resp::append_bulk(request.upstream_command.prefix, arguments[i]);
+    if (!is_query) resp::append_bulk(request.upstream_command.suffix, arguments[4]);
     return request;
 }
 
--- a/src/platform/request.h
+++ b/src/platform/request.h
@@ -13,20 +13,20 @@
 namespace silverreach::platform {
 
 // The command as hosts get it, but for `d`, which tells how long the gateway will wait.
-class OutCommand {
+class UpstreamCommand {
   public:
-    std::string with(Micros wait) const;  // whole, in RESP2
-    std::string head;                     // up to the list
-    std::string before, after;            // the list around the figure of `d`
-    std::string tail;                     // the body, if any
-    bool repeatable = true;               // a lost attempt may be followed by another
+    std::string serialize(Micros remaining) const;          // whole, in RESP2
+    std::string prefix;                                     // up to the list
+    std::string list_before_deadline, list_after_deadline;  // the list around the figure of `d`
+    std::string suffix;                                     // the body, if any
+    bool is_idempotent = true;  // a lost attempt may be followed by another
 };
 
 struct Request {
     std::string error;  // why it is refused as nonsense; empty: it is good
     std::uint64_t id = 0;
-    core::ClientRequest attempt;  // time_left as the client told it
-    OutCommand out;
+    core::ClientRequest client_request;  // time_left as the client told it
+    UpstreamCommand upstream_command;
 };
 
 class CommandValidator {
--- a/src/platform/targets.cpp
+++ b/src/platform/targets.cpp
@@ -38,7 +38,7 @@
 std::optional<TargetList> read_targets(json::object object) try {
     TargetList list;
     list.revision = json::as_integer(json::required(object, "rev"), "rev");
-    list.whole = json::as_bool(json::required(object, "all"), "all");
+    list.complete = json::as_bool(json::required(object, "all"), "all");
     for (json::element target : json::as_array(json::required(object, "targets"), "targets"))
         list.targets.push_back(read_target(json::as_object(target, "targets[]")));
     return list;
--- a/src/platform/targets.h
+++ b/src/platform/targets.h
@@ -18,7 +18,7 @@
 };
 struct TargetList {
     std::int64_t revision = 0;
-    bool whole = false;  // else only the entries that changed
+    bool complete = false;  // else only the entries that changed
     std::vector<Target> targets;
 };
 
--- a/src/upstream/resp/upstream.cpp
+++ b/src/upstream/resp/upstream.cpp
@@ -39,8 +39,8 @@
       context_{loop, limits_, callbacks, pool_, attempts_, counters_, buffered_bytes_} {}
 
 void Upstream::send(const core::AttemptKey& key, const std::string& host,
-                    std::shared_ptr<const platform::OutCommand> command) {
-    const auto acquired = pool_.acquire(host, {.idempotent = command->repeatable});
+                    std::shared_ptr<const platform::UpstreamCommand> command) {
+    const auto acquired = pool_.acquire(host, {.idempotent = command->is_idempotent});
     if (const auto* error = std::get_if<upstream::AcquireError>(&acquired)) {
         HostResponse none;
         none.outcome = upstream::outcome_of(*error);
@@ -77,7 +77,7 @@
     for (const platform::Target& target : list.targets)
         updates.push_back(
             {target.entry.id, target.entry.status == EndpointStatus::available, target.endpoint});
-    pool_.update_hosts(list.whole, updates);
+    pool_.update_hosts(list.complete, updates);
 }
 
 void Upstream::return_unsent_to_unlisted() {
--- a/src/upstream/resp/upstream.h
+++ b/src/upstream/resp/upstream.h
@@ -26,7 +26,7 @@
 
     // `host`: the uid in discovery. The attempt may end within the call.
     void send(const core::AttemptKey& key, const std::string& host,
-              std::shared_ptr<const platform::OutCommand> command);
+              std::shared_ptr<const platform::UpstreamCommand> command);
     // Ends the attempt; no callback follows. Its connection is closed unless it is not up yet.
     void cancel(const core::AttemptKey& key);
     // Cancels an attempt whose command has not been sent completely. False where it has, or where
--- a/src/upstream/resp/upstream_connection.cpp
+++ b/src/upstream/resp/upstream_connection.cpp
@@ -32,7 +32,7 @@
 // ---- request ----
 
 void UpstreamConnection::begin_attempt(const core::AttemptKey& key,
-                                       std::shared_ptr<const platform::OutCommand> command) {
+                                       std::shared_ptr<const platform::UpstreamCommand> command) {
     command_ = std::move(command);
     begin(key);
 }
@@ -63,7 +63,7 @@
     if (!is_current(exchange)) return;  // withdrawn by the callback
     if (!time_left) return return_unsent();
     mark_request_written();
-    stream().write(command_->with(*time_left));
+    stream().write(command_->serialize(*time_left));
     if (stream().queued() > 0) limit_send_time();
 }
 
--- a/src/upstream/resp/upstream_connection.h
+++ b/src/upstream/resp/upstream_connection.h
@@ -44,7 +44,7 @@
 
     // Both send now, or once the connection is up.
     void begin_attempt(const core::AttemptKey& key,
-                       std::shared_ptr<const platform::OutCommand> command);
+                       std::shared_ptr<const platform::UpstreamCommand> command);
     void begin_health_check(std::string command);
     // Ends the exchange without a callback.
     void abandon();
@@ -75,7 +75,7 @@
 
     ConnectionContext& context_;
     ResponseReader reader_;
-    std::shared_ptr<const platform::OutCommand> command_;
+    std::shared_ptr<const platform::UpstreamCommand> command_;
     std::string health_check_command_;
     Micros last_bytes_{0};  // loop time
 };
--- a/tests/node/discovery_watch_test.cpp
+++ b/tests/node/discovery_watch_test.cpp
@@ -50,21 +50,21 @@
         for (std::size_t at = 0; at < stream.size(); at += size) {
             std::string_view piece = std::string_view(stream).substr(at, size);
             while (!piece.empty())
-                if (reader.look(piece) == platform::ObjectReader::Got::whole)
+                if (reader.read(piece) == platform::ObjectReader::Status::complete)
                     got.push_back(reader.take());
         }
         ASSERT_EQ(got, (std::vector<std::string>{object, object, "{}"})) << "in pieces of " << size;
-        EXPECT_TRUE(reader.between());
+        EXPECT_TRUE(reader.is_between_objects());
     }
     for (const char* bad : {"x", "]", "\"{}\"", "[{}]", "{\"uid\":\"s-\n"}) {
         platform::ObjectReader reader;
         std::string_view bytes = bad;
-        EXPECT_EQ(reader.look(bytes), platform::ObjectReader::Got::broken) << bad;
+        EXPECT_EQ(reader.read(bytes), platform::ObjectReader::Status::malformed) << bad;
     }
     platform::ObjectReader small(100);
     const std::string endless = "{" + std::string(200, ' ');
     std::string_view bytes = endless;
-    EXPECT_EQ(small.look(bytes), platform::ObjectReader::Got::broken);
+    EXPECT_EQ(small.read(bytes), platform::ObjectReader::Status::malformed);
 }
 
 TEST(DiscoveryWatch, AListMayComeIndentedAndInPieces) {
--- a/tests/node/endings_test.cpp
+++ b/tests/node/endings_test.cpp
@@ -232,11 +232,11 @@
     upstream_resp::Upstream up(on.loop, limits, ends);
     up.update_hosts(*platform::read_targets(Discovery::list(1, true, host.target("s-1"))));
     const auto send = [&](RequestId id, bool repeatable) {
-        auto command = std::make_shared<platform::OutCommand>();
-        resp::append_array(command->head, 4);
+        auto command = std::make_shared<platform::UpstreamCommand>();
+        resp::append_array(command->prefix, 4);
         for (const char* w : {"SVC.QUERY", "0000000000000007", "0000000000000001"})
-            resp::append_bulk(command->head, w);
-        command->before = "c=sell,d=", command->repeatable = repeatable;
+            resp::append_bulk(command->prefix, w);
+        command->list_before_deadline = "c=sell,d=", command->is_idempotent = repeatable;
         ends.outcomes.clear();
         up.send({id, 0}, "s-1", command);
         EXPECT_TRUE(on.run([&] { return !ends.outcomes.empty(); }, 1s));
@@ -259,8 +259,8 @@
     limits.connect_timeout = 50ms;
     upstream_resp::Upstream up(on.loop, limits, ends);
     up.update_hosts(*platform::read_targets(Discovery::list(1, true, target(late))));
-    auto command = std::make_shared<platform::OutCommand>();
-    command->head = "*1\r\n$4\r\nPING\r\n";
+    auto command = std::make_shared<platform::UpstreamCommand>();
+    command->prefix = "*1\r\n$4\r\nPING\r\n";
     up.send({1, 0}, "s-1", command);
     ASSERT_TRUE(on.run([&] { return ends.outcomes.size() == 1; }, 1s));
     EXPECT_EQ(ends.outcomes[0], Outcome::connect_failed);
@@ -281,7 +281,7 @@
     limits.max_connections = 1;
     upstream_resp::Upstream up(on.loop, limits, ends);
     up.update_hosts(*platform::read_targets(Discovery::list(1, true, target(late))));
-    auto command = std::make_shared<platform::OutCommand>();
+    auto command = std::make_shared<platform::UpstreamCommand>();
     up.send({1, 0}, "s-1", command);
     up.send({2, 0}, "s-1", command);
     EXPECT_EQ(ends.outcomes, std::vector<Outcome>{Outcome::not_started}) << "nothing was tried";
--- a/tests/openapi/openapi_test.cpp
+++ b/tests/openapi/openapi_test.cpp
@@ -54,12 +54,12 @@
     EXPECT_EQ(range.parameters[0].second + "," + range.parameters[1].second, "1,2-3");
     EXPECT_EQ(loaded.find(Method::get, "/pets/%6dine")->operation_id, "mine")
         << "escapes of plain characters are the same path";
-    EXPECT_FALSE(loaded.description->table.find(Method::get, "/pets/").path_known);
-    EXPECT_FALSE(loaded.description->table.find(Method::get, "//pets/7").path_known);
-    EXPECT_FALSE(loaded.description->table.find(Method::get, "/pets/7/").path_known);
+    EXPECT_FALSE(loaded.description->table.find(Method::get, "/pets/").is_path_known);
+    EXPECT_FALSE(loaded.description->table.find(Method::get, "//pets/7").is_path_known);
+    EXPECT_FALSE(loaded.description->table.find(Method::get, "/pets/7/").is_path_known);
     const auto other = loaded.description->table.find(Method::post, "/pets/mine");
-    EXPECT_TRUE(other.path_known);
-    EXPECT_EQ(other.allowed, (std::vector<Method>{Method::get, Method::head}));
+    EXPECT_TRUE(other.is_path_known);
+    EXPECT_EQ(other.allowed_methods, (std::vector<Method>{Method::get, Method::head}));
     EXPECT_EQ(loaded.find(Method::head, "/pets/7")->operation_id, "one");
 }
 
@@ -93,7 +93,7 @@
     EXPECT_EQ(loaded.find(Method::put, "/a")->request_class, "write");
     EXPECT_EQ(loaded.find(Method::put, "/a")->class_origin, "operation:9");
     EXPECT_EQ(loaded.find(Method::get, "/b")->units_origin, "root:4");
-    EXPECT_NE(table_text(*loaded.description).find("operation:8"), std::string::npos);
+    EXPECT_NE(format_routes(*loaded.description).find("operation:8"), std::string::npos);
 }
 
 TEST(Description, EffectDependsOnMethodKeyAndOverride) {
@@ -109,14 +109,14 @@
     put: {x-silverreach-effect: unsafe}
 )");
     ASSERT_TRUE(loaded.description);
-    EXPECT_EQ(loaded.find(Method::get, "/a")->effect, Idempotency::idempotent);
-    EXPECT_EQ(loaded.find(Method::put, "/a")->effect, Idempotency::idempotent);
-    EXPECT_EQ(loaded.find(Method::del, "/a")->effect, Idempotency::idempotent);
-    EXPECT_EQ(loaded.find(Method::post, "/a")->effect, Idempotency::non_idempotent);
-    EXPECT_EQ(loaded.find(Method::patch, "/a")->effect, Idempotency::idempotent);
-    EXPECT_EQ(loaded.find(Method::post, "/k")->effect, Idempotency::idempotency_key);
-    EXPECT_TRUE(loaded.find(Method::post, "/k")->key_required);
-    EXPECT_EQ(loaded.find(Method::put, "/k")->effect, Idempotency::non_idempotent);
+    EXPECT_EQ(loaded.find(Method::get, "/a")->idempotency, Idempotency::idempotent);
+    EXPECT_EQ(loaded.find(Method::put, "/a")->idempotency, Idempotency::idempotent);
+    EXPECT_EQ(loaded.find(Method::del, "/a")->idempotency, Idempotency::idempotent);
+    EXPECT_EQ(loaded.find(Method::post, "/a")->idempotency, Idempotency::non_idempotent);
+    EXPECT_EQ(loaded.find(Method::patch, "/a")->idempotency, Idempotency::idempotent);
+    EXPECT_EQ(loaded.find(Method::post, "/k")->idempotency, Idempotency::idempotency_key);
+    EXPECT_TRUE(loaded.find(Method::post, "/k")->idempotency_key_required);
+    EXPECT_EQ(loaded.find(Method::put, "/k")->idempotency, Idempotency::non_idempotent);
     EXPECT_TRUE(load_with(header + "paths: {/a: {post: {x-silverreach-effect: keyed}}}\n")
                     .has_problem(5, "Idempotency-Key"));
 }
@@ -178,12 +178,12 @@
   /c: {get: {security: []}}
 )");
     ASSERT_TRUE(loaded.description);
-    EXPECT_EQ(loaded.find(Method::get, "/a")->keys,
-              (std::vector<Carrier>{{Place::query, "key", false},
-                                    {Place::header, "Authorization", true}}));
-    EXPECT_FALSE(loaded.find(Method::get, "/a")->anonymous);
-    EXPECT_TRUE(loaded.find(Method::get, "/b")->anonymous);
-    EXPECT_TRUE(loaded.find(Method::get, "/c")->anonymous);
+    EXPECT_EQ(loaded.find(Method::get, "/a")->key_carriers,
+              (std::vector<Carrier>{{ParameterLocation::query, "key", false},
+                                    {ParameterLocation::header, "Authorization", true}}));
+    EXPECT_FALSE(loaded.find(Method::get, "/a")->allows_anonymous);
+    EXPECT_TRUE(loaded.find(Method::get, "/b")->allows_anonymous);
+    EXPECT_TRUE(loaded.find(Method::get, "/c")->allows_anonymous);
     EXPECT_FALSE(load_with(header +
                            "components: {securitySchemes: {o: {type: oauth2}}}\nsecurity: [{o: "
                            "[]}]\npaths: {/a: {get: {}}}\n")
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -52,9 +52,9 @@
     EXPECT_EQ(config.settings.classes.size(), 2u);
     EXPECT_EQ(config.settings.plans.front().name, "team");
     EXPECT_EQ(config.connect_timeout, 250ms);
-    ASSERT_EQ(config.known.targets.size(), 1u);
-    EXPECT_EQ(config.known.targets[0].entry.id, "s-1");
-    EXPECT_EQ(config.known.targets[0].entry.cell, 3);
+    ASSERT_EQ(config.initial_list.targets.size(), 1u);
+    EXPECT_EQ(config.initial_list.targets[0].entry.id, "s-1");
+    EXPECT_EQ(config.initial_list.targets[0].entry.cell, 3);
 }
 
 TEST(NodeConfig, ErrorsNameTheKey) {
@@ -82,7 +82,7 @@
     const auto list = read_targets(good);
     ASSERT_TRUE(list);
     EXPECT_EQ(list->revision, 43);
-    EXPECT_FALSE(list->whole);
+    EXPECT_FALSE(list->complete);
     EXPECT_EQ(list->targets[0].entry.status, EndpointStatus::draining);
     EXPECT_EQ(list->targets[0].entry.started_at, Micros(1700000000123000));
     for (std::size_t length = 0; length < good.size(); ++length)
@@ -96,20 +96,20 @@
     const Request query = validate_query("c=lookup,t=team,d=480,units=2,spread=3,first=1,x=y");
     ASSERT_EQ(query.error, "");
     EXPECT_EQ(query.id, 0x9b1f03aa5c7e2d41u);
-    EXPECT_EQ(query.attempt.account, customer);
-    EXPECT_EQ(query.attempt.time_remaining, 480ms);
-    EXPECT_EQ(query.attempt.units, 2);
-    ASSERT_TRUE(query.attempt.subset);
-    EXPECT_EQ(query.attempt.subset->size, 3);
-    EXPECT_EQ(query.attempt.subset->start, 1);
+    EXPECT_EQ(query.client_request.account, customer);
+    EXPECT_EQ(query.client_request.time_remaining, 480ms);
+    EXPECT_EQ(query.client_request.units, 2);
+    ASSERT_TRUE(query.client_request.subset);
+    EXPECT_EQ(query.client_request.subset->size, 3);
+    EXPECT_EQ(query.client_request.subset->start, 1);
     const std::string list = "c=lookup,t=team,d=79,units=2,spread=3,first=1,x=y";
-    EXPECT_EQ(query.out.with(79900us), "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n" + customer +
-                                           "\r\n$16\r\n" + id + "\r\n$" +
-                                           std::to_string(list.size()) + "\r\n" + list + "\r\n");
-    EXPECT_NE(query.out.with(10us).find(",d=1,"), std::string::npos);
+    EXPECT_EQ(query.upstream_command.serialize(79900us),
+              "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n" + customer + "\r\n$16\r\n" + id + "\r\n$" +
+                  std::to_string(list.size()) + "\r\n" + list + "\r\n");
+    EXPECT_NE(query.upstream_command.serialize(10us).find(",d=1,"), std::string::npos);
     const Request submit = validate_submit("d=480,c=order,t=team,k=5c0f6e1a2b3d4c59");
     ASSERT_EQ(submit.error, "");
-    EXPECT_TRUE(submit.out.with(1s).ends_with("$4\r\nBODY\r\n"));
+    EXPECT_TRUE(submit.upstream_command.serialize(1s).ends_with("$4\r\nBODY\r\n"));
 }
 
 TEST(CommandValidator, InvalidCommandsAreRejectedWithAReason) {
@@ -157,5 +157,5 @@
 }
 
 TEST(CommandValidator, TimeRemainingIsLimitedToTheClassDeadline) {
-    EXPECT_EQ(validate_query("c=lookup,t=team,d=3000000").attempt.time_remaining, 2s);
+    EXPECT_EQ(validate_query("c=lookup,t=team,d=3000000").client_request.time_remaining, 2s);
 }
