--- a/src/openapi/description.cpp
+++ b/src/openapi/description.cpp
@@ -14,7 +14,8 @@
 constexpr int max_references = 32;
 constexpr std::size_t max_base_paths = 64;
 
-struct ExtensionValue {  // an extension's value and the level it stands at
+// The value of an extension and the level at which it is set.
+struct ExtensionValue {
     const Value* value = nullptr;
     std::string_view level;
 };
@@ -45,8 +46,8 @@
         const std::vector<std::string> base_paths = read_servers(root, {""}, "servers");
         const Value* paths = root.find("paths");
         if (!paths || !paths->is(Kind::mapping)) {
-            // 3.1 lets a description hold webhooks or components alone; a gateway then has nothing
-            // to route.
+            // OpenAPI 3.1 allows a description with webhooks or components only; it has no routes
+            // for a gateway.
             add_problem(paths ? *paths : root, "paths", "a mapping of path to operations");
         } else {
             for (const auto& [path, item] : paths->members)
@@ -73,8 +74,9 @@
         return fallback;
     }
 
-    // Follows $ref within this file; nullptr and a problem where it leads nowhere, outside or round
-    // in a circle.
+    // Follows $ref within this file. Returns nullptr and adds a problem where a reference has no
+    // target, points to another file, or belongs to a chain that is circular or longer than
+    // max_references.
     const Value* resolve_reference(const Value& value, const std::string& field) {
         const Value* current = &value;
         for (int steps = 0; steps < max_references; ++steps) {
@@ -96,7 +98,7 @@
                     "a reference that ends; this one goes round in a circle");
         return nullptr;
     }
-    // RFC 6901.
+    // Resolves a JSON pointer (RFC 6901); nullptr where it has no target.
     const Value* resolve_pointer(std::string_view path) const {
         const Value* current = root_;
         while (!path.empty() && current) {
@@ -136,8 +138,7 @@
         return decoded;
     }
 
-    // ---- servers
-    // -----------------------------------------------------------------------------------------
+    // ---- servers ----
 
     std::vector<std::string> read_servers(const Value& owner, std::vector<std::string> inherited,
                                           const std::string& field) {
@@ -162,7 +163,7 @@
                     base_paths.push_back(base_path);
             }
         }
-        if (base_paths.empty()) base_paths.emplace_back("");  // an empty list counts as [{url: /}]
+        if (base_paths.empty()) base_paths.emplace_back("");  // an empty list means [{url: /}]
         return base_paths;
     }
     static void strip_authority(std::string& url) {
@@ -174,7 +175,8 @@
             url.pop_back();
         if (!url.empty() && url.front() != '/') url.insert(0, "/");
     }
-    // A URL for each value that its variables can take: `enum` where given, else the default.
+    // Returns a URL for each combination of the variables' values: those of `enum` where it is set,
+    // else the default.
     std::vector<std::string> expand_variables(const Value& server, const std::string& url,
                                               const std::string& field) {
         std::vector<std::string> urls{url};
@@ -228,8 +230,7 @@
         }
     }
 
-    // ---- security
-    // ----------------------------------------------------------------------------------------
+    // ---- security ----
 
     void read_security_schemes() {
         const Value* components = root_->find("components");
@@ -298,8 +299,7 @@
                         "an apiKey or http bearer scheme among the alternatives");
     }
 
-    // ---- operations
-    // --------------------------------------------------------------------------------------
+    // ---- operations ----
 
     struct Parameter {
         Carrier carrier;
@@ -504,8 +504,8 @@
             fmt::format("; {} {} {}", location, name->text, origin_text(units_from));
     }
 
-    // RFC 9110: safe methods and idempotent ones may be repeated; with a key the hosts drop
-    // repeats; the rest must not run twice.
+    // RFC 9110: requests with safe or idempotent methods may be repeated. With an Idempotency-Key,
+    // hosts drop duplicates. All others must not run twice.
     void read_idempotency(Route& route, const Value& operation, const Value& item,
                           const Parameters& parameters, const std::string& field) {
         const auto key_parameter = parameters.find({"header", "idempotency-key"});
@@ -541,8 +541,8 @@
     std::vector<Problem>& problems_;
     std::shared_ptr<Description> description_;
     const Value* root_ = nullptr;
-    std::map<std::string, std::optional<Carrier>>
-        schemes_;  // nothing: known, but no key to be read from it
+    // By name; nothing: a defined scheme from which no key can be read.
+    std::map<std::string, std::optional<Carrier>> schemes_;
 };
 
 std::string format_key_carriers(const Route& route) {
--- a/src/openapi/document.cpp
+++ b/src/openapi/document.cpp
@@ -68,7 +68,7 @@
             into.members.emplace_back(key, Value());
             Value& value = into.members.back().second;
             convert(member.second, value, depth + 1);
-            value.line = line;  // where the name stands is where a reader looks
+            value.line = line;  // problems are reported at the line of the key
             if (value_count > max_values) return false;
         }
         return valid;
@@ -121,8 +121,8 @@
 
 bool parse(std::string_view text, const std::string& file, Value& into,
            std::vector<Problem>& problems) {
-    // JSON is read by the YAML parser too, which knows lines; a JSON parser first refuses what only
-    // YAML allows.
+    // The YAML parser also reads JSON, because it provides line numbers. A JSON parser first
+    // rejects text that is valid YAML but not valid JSON.
     const std::size_t first_character = text.find_first_not_of(" \t\r\n");
     if (first_character != std::string_view::npos &&
         (text[first_character] == '{' || text[first_character] == '[')) {
--- a/src/openapi/document.h
+++ b/src/openapi/document.h
@@ -1,5 +1,5 @@
-// A YAML or JSON text as a plain tree with line numbers. Bounded in depth and size, so that aliases
-// cannot blow it up. No I/O.
+// Parses YAML or JSON into a tree of values with line numbers. Depth and size are limited, so that
+// nested aliases cannot exhaust the memory. No I/O.
 #pragma once
 
 #include <string>
@@ -10,10 +10,10 @@
 
 namespace silverreach::openapi {
 
-// What is wrong with a text: where, in which field, and what was expected there.
+// One error in a document: its line, the field and what was expected there.
 struct Problem {
     std::string file;
-    int line = 0;  // from 1; 0: the file as a whole
+    int line = 0;  // from 1; 0: the whole file
     std::string field;
     std::string expected;
 };
@@ -32,22 +32,25 @@
     bool quoted = false;
     int line = 0;
     std::vector<Value> items;                            // of a sequence
-    std::vector<std::pair<std::string, Value>> members;  // of a mapping, in the order of the text
+    std::vector<std::pair<std::string, Value>> members;  // of a mapping, in document order
 
-    // The member of that name; nullptr where there is none or this is no mapping.
+    // Returns the member of that name; nullptr where it is absent or this is not a mapping.
     const Value* find(std::string_view name) const;
     bool is(Kind expected) const { return kind == expected; }
-    // A boolean or a finite number as YAML's core schema has them; false where it is none.
+    // Reads an unquoted `true` or `false`, or an unquoted finite decimal number. Returns false, and
+    // leaves `out` unchanged, for any other value.
     bool as(bool& out) const;
     bool as(double& out) const;
-    void build_index();  // called once when the tree is whole
+    void build_index();  // speeds up find(); called once, after the tree is complete
 
   private:
-    std::unordered_map<std::string_view, std::size_t> member_indices_;  // of large mappings only
+    // By name, into `members`; of large mappings only.
+    std::unordered_map<std::string_view, std::size_t> member_indices_;
 };
 
-// Parses one document. Nothing and problems appended where it is malformed, holds a name twice,
-// nests deeper than 64 or has more than 2,000,000 values.
+// Parses one document. Returns false, with problems appended, where the text is malformed, a
+// mapping has a duplicate key, values are nested more than 64 levels deep or there are more than
+// 2,000,000 values.
 bool parse(std::string_view text, const std::string& file, Value& into,
            std::vector<Problem>& problems);
 
--- a/src/openapi/route.cpp
+++ b/src/openapi/route.cpp
@@ -36,10 +36,10 @@
     return names[static_cast<std::size_t>(location)];
 }
 
-// A template segment is literal text around names: "{id}", "{id}.json", "{from}-{to}".
+// A template segment is literal text around parameter names: "{id}", "{id}.json", "{from}-{to}".
 struct RouteTable::Node {
     struct Pattern {
-        std::vector<std::string> literals;  // one more than there are names
+        std::vector<std::string> literals;  // one more than parameter names
         std::unique_ptr<Node> child;
         std::size_t literal_length() const {
             std::size_t length = 0;
@@ -47,7 +47,9 @@
                 length += literal.size();
             return length;
         }
-        // The text between the literals, each value not empty; the leftmost fit.
+        // Appends the text between the literals to `values`. Values are not empty; each but the
+        // last ends at the first occurrence of the following literal. Where the segment does not
+        // match, `values` is unchanged.
         bool match(std::string_view text, std::vector<std::string>& values) const {
             if (text.size() < literals.front().size() || !text.starts_with(literals.front()))
                 return false;
@@ -70,7 +72,7 @@
     };
     std::unordered_map<std::string, std::unique_ptr<Node>, ViewHash, std::equal_to<>>
         literal_children;
-    std::vector<Pattern> patterns;  // the most literal first
+    std::vector<Pattern> patterns;  // in descending order of literal_length()
     std::array<const Route*, method_names.size()> routes{};
     std::array<std::vector<std::string>, method_names.size()> parameter_names;
     bool has_route() const {
--- a/src/openapi/route.h
+++ b/src/openapi/route.h
@@ -1,4 +1,4 @@
-// The routes of an API as the gateway understands them, and their look-up. No I/O.
+// The routes of an API and their look-up by method and path. No I/O.
 #pragma once
 
 #include <array>
@@ -14,7 +14,7 @@
 
 namespace silverreach::openapi {
 
-// The methods an OpenAPI path item can describe.
+// The methods that an OpenAPI path item can describe.
 enum class Method {
     get,
     put,
@@ -27,7 +27,7 @@
 };
 inline constexpr std::array<std::string_view, 8> method_names = {
     "GET", "PUT", "POST", "DELETE", "OPTIONS", "HEAD", "PATCH", "TRACE"};
-std::optional<Method> parse_method(std::string_view name);  // as HTTP writes it, case counts
+std::optional<Method> parse_method(std::string_view name);  // case-sensitive, as in HTTP
 
 enum class ParameterLocation {
     header,
@@ -37,48 +37,50 @@
 };
 std::string_view to_string(ParameterLocation location);
 
-// Where a request carries something: an account's key, or its units.
+// The request parameter that carries an account's key or a request's units.
 struct Carrier {
     ParameterLocation location = ParameterLocation::header;
     std::string name;
-    bool bearer = false;  // the Authorization header's Bearer token
+    bool bearer = false;  // the Bearer token of the Authorization header
     bool operator==(const Carrier&) const = default;
 };
 
 struct Route {
     Method method = Method::get;
-    std::string path;  // with the server's base path
+    std::string path;  // path template, including the server's base path
     std::string operation_id;
     std::string request_class;
     double units = 1;
-    std::optional<Carrier> units_from;  // overrides `units` where the request has it
+    std::optional<Carrier> units_from;  // overrides `units` where the request has this parameter
     Idempotency idempotency = Idempotency::idempotent;
-    bool idempotency_key_required = false;  // the request must carry Idempotency-Key
-    std::vector<Carrier> key_carriers;      // where the account's key may be, first match wins
-    bool allows_anonymous = true;           // a request without a key is taken
-    std::string class_origin, units_origin, idempotency_origin;  // for people: where each came from
-    int line = 0;                                                // of the operation
+    bool idempotency_key_required = false;  // the request must have an Idempotency-Key header
+    std::vector<Carrier> key_carriers;      // parameters that may carry the account's key
+    bool allows_anonymous = true;           // a request without a key is accepted
+    // For display: where each value comes from.
+    std::string class_origin, units_origin, idempotency_origin;
+    int line = 0;  // of the operation in the description
 };
 
-// Path templates in a tree by segment: literals before templates, as the specification orders; a
-// look-up's cost grows with the path's length only.
+// A tree of path templates by segment. Literal segments match before templates, as the
+// specification requires. A look-up tries the literal and the templates of each segment in
+// turn; its cost depends on the path and the templates that match it, not on the number of routes.
 class RouteTable {
   public:
     RouteTable();
     ~RouteTable();
-    // Returns the route that has the same method and the same template but for names; nullptr where
-    // it was added.
+    // Adds a route. Where a route with the same method and an equivalent template (equal except for
+    // parameter names) exists, returns that route and adds nothing; otherwise returns nullptr.
     const Route* add(Route route);
     const std::vector<std::unique_ptr<Route>>& routes() const { return routes_; }
 
     struct Match {
         const Route* route = nullptr;
-        bool is_path_known = false;  // some method is known for the path
+        bool is_path_known = false;  // a route exists for the path, with any method
         std::vector<Method> allowed_methods;
         std::vector<std::pair<std::string, std::string>> parameters;
     };
-    // `path`: absolute, without query, not normalized: dot segments are the caller's to refuse. A
-    // GET route also takes HEAD.
+    // `path` is absolute, without a query and not normalized; the caller rejects dot segments
+    // before, with check_path(). A GET route also serves HEAD.
     Match find(Method method, std::string_view path) const;
 
   private:
@@ -89,7 +91,8 @@
     std::vector<std::unique_ptr<Route>> routes_;
 };
 
-// Percent-decodes; nothing for a malformed escape, or one that stands for '/', '\' or NUL.
+// Percent-decodes a path segment. Returns nothing for a malformed escape, or for an escaped '/',
+// '\' or NUL.
 std::optional<std::string> decode_segment(std::string_view segment);
 enum class PathFault {
     none,
@@ -97,7 +100,7 @@
     bad_escape,
     dot_segment
 };
-// Paths that different programs read differently are refused, never mended.
+// Reports paths that programs interpret differently. Such paths are rejected, not normalized.
 PathFault check_path(std::string_view path);
 
 }  // namespace silverreach::openapi
