--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -60,7 +60,8 @@
     const auto listen = variable_or_key("NODE_LISTEN", "listen");
     if (!listen) fail("listen", "an IP address and port, here or in NODE_LISTEN");
     result.listen = read_endpoint(*listen, "listen");
-    // The file comes first here: a new one names another address, and the variable stays as it was.
+    // Here the file overrides the variable: a new configuration file may name another address,
+    // while the variable keeps its value.
     if (const auto value = read_optional_endpoint(root, "discovery"))
         result.discovery = *value;
     else if (const auto address = variable_or_key("NODE_DISCOVERY", "discovery"))
--- a/src/platform/object_reader.cpp
+++ b/src/platform/object_reader.cpp
@@ -17,7 +17,8 @@
     while (length < bytes.size() && !is_complete) {
         const char character = bytes[length++];
         if (in_string_) {
-            // A text never holds a line's end: the object was torn and another line has begun.
+            // A JSON string contains no raw line break: the object was cut off and another line
+            // follows.
             if (static_cast<unsigned char>(character) < ' ')
                 return error_ = "a text that does not end", Status::malformed;
             in_string_ = escaped_ || character != '"';
--- a/src/platform/object_reader.h
+++ b/src/platform/object_reader.h
@@ -1,5 +1,5 @@
-// Cuts a stream of JSON objects into objects: one ends where its braces close, whatever lines and
-// pieces it came in. No I/O.
+// Splits a stream of JSON objects. An object ends with its closing brace, independent of line
+// breaks and of the chunks in which its bytes arrive. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -17,11 +17,11 @@
     };
     explicit ObjectReader(std::size_t max_object_bytes = std::size_t{1024} * 1024)
         : max_object_bytes_(max_object_bytes) {}
-    // Takes bytes off the front of `bytes` until an object is whole, or all are taken.
+    // Consumes bytes from the front of `bytes` until an object is complete or none are left.
     Status read(std::string_view& bytes);
-    std::string take();  // the whole object; the next one begins
-    bool is_between_objects() const { return depth_ == 0; }  // no object has begun
-    std::string_view error() const { return error_; }        // it is broken
+    std::string take();  // the complete object; the reader then starts the next one
+    bool is_between_objects() const { return depth_ == 0; }  // no incomplete object is buffered
+    std::string_view error() const { return error_; }        // why the stream is malformed
 
   private:
     std::size_t max_object_bytes_;
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint64_t customer_id_limit = 1ull << 33;
 constexpr std::int64_t max_deadline_ms = 3'600'000;
 
-// Lower case only: two spellings of a customer would be two quotas.
+// Accepts lower case only: a customer written in two ways would have two quotas.
 std::optional<std::uint64_t> parse_hex_id(std::string_view text) {
     std::uint64_t value = 0;
     if (text.size() != hex_digits) return std::nullopt;
@@ -24,7 +24,7 @@
     std::from_chars(text.data(), text.data() + text.size(), value, 16);
     return value;
 }
-// `how`: further arguments of std::from_chars.
+// `options`: further arguments of std::from_chars.
 template <class T, class... Options>
 std::optional<T> parse_number(std::string_view text, Options... options) {
     T value{};
@@ -41,7 +41,7 @@
 }  // namespace
 
 std::string UpstreamCommand::serialize(Micros remaining) const {
-    // Rounded down, so that no host works past the time; never nothing.
+    // Rounded down, so that no host works past the deadline; at least 1 ms.
     const auto remaining_ms =
         std::max<std::int64_t>(1, std::chrono::floor<std::chrono::milliseconds>(remaining).count());
     std::string bytes = prefix;
@@ -143,7 +143,8 @@
         request_class->is_idempotent || request_class->needs_key;
     request.client_request.plan = plan.value_or(-1);
     request.client_request.units = units.value_or(1);
-    // A class's deadline is the whole patience of its clients; a longer one only holds state here.
+    // Clients wait no longer than their class's deadline; a longer time would only retain state
+    // in the gateway.
     request.client_request.time_remaining =
         std::min<Micros>(std::chrono::milliseconds(*remaining_ms), request_class->deadline);
     if (subset_size.has_value() != subset_start.has_value())
--- a/src/platform/request.h
+++ b/src/platform/request.h
@@ -1,5 +1,6 @@
-// A client's command in the platform's form, validated as a whole: either a request for the core
-// and the command for hosts, or one plain error and nothing of it goes any further. No I/O.
+// Validates client commands of the platform's protocol. A valid command yields a request for the
+// core and the command that is sent to hosts; an invalid one yields an error and is not processed
+// further. No I/O.
 #pragma once
 
 #include <string>
@@ -12,27 +13,29 @@
 
 namespace silverreach::platform {
 
-// The command as hosts get it, but for `d`, which tells how long the gateway will wait.
+// The command that is sent to hosts: the client's, with `d` replaced by the time for which the
+// gateway waits.
 class UpstreamCommand {
   public:
-    std::string serialize(Micros remaining) const;          // whole, in RESP2
-    std::string prefix;                                     // up to the list
-    std::string list_before_deadline, list_after_deadline;  // the list around the figure of `d`
-    std::string suffix;                                     // the body, if any
-    bool is_idempotent = true;  // a lost attempt may be followed by another
+    std::string serialize(Micros remaining) const;          // the complete command, in RESP2
+    std::string prefix;                                     // everything before the list of values
+    std::string list_before_deadline, list_after_deadline;  // the list around the value of `d`
+    std::string suffix;                                     // the body, if the command has one
+    bool is_idempotent = true;  // the request may be sent again after a lost attempt
 };
 
 struct Request {
-    std::string error;  // why it is refused as nonsense; empty: it is good
+    std::string error;  // why the command is invalid; empty: it is valid
     std::uint64_t id = 0;
-    core::ClientRequest client_request;  // time_left as the client told it
+    // Its time_remaining is the client's, at most the deadline of the class.
+    core::ClientRequest client_request;
     UpstreamCommand upstream_command;
 };
 
 class CommandValidator {
   public:
     explicit CommandValidator(const NodeConfig& config);
-    // `words`: those of one command, SVC.QUERY or SVC.SUBMIT first.
+    // `arguments`: those of one command, SVC.QUERY or SVC.SUBMIT first.
     Request validate(const std::vector<std::string_view>& arguments) const;
     static bool is_request(std::string_view command);
 
--- a/src/platform/targets.h
+++ b/src/platform/targets.h
@@ -1,4 +1,5 @@
-// The platform's discovery: its list of hosts, whole or in part, as JSON. No I/O.
+// Reads the platform's list of hosts from JSON: a complete list, or the entries that changed. No
+// I/O.
 #pragma once
 
 #include <simdjson.h>
@@ -13,17 +14,18 @@
 namespace silverreach::platform {
 
 struct Target {
-    EndpointEntry entry;  // its host is the uid; started in Unix microseconds, 0 for long ago
-    std::optional<config::Endpoint> endpoint;  // none where the host is gone
+    // id: the uid; started_at: Unix time in microseconds, 0: long ago.
+    EndpointEntry entry;
+    std::optional<config::Endpoint> endpoint;  // may be absent where the host is removed
 };
 struct TargetList {
     std::int64_t revision = 0;
-    bool complete = false;  // else only the entries that changed
+    bool complete = false;  // false: only the entries that changed
     std::vector<Target> targets;
 };
 
-// Nothing where any part of the text is not as the form has it: half a list is worse than an old
-// one.
+// Return nothing where any part of the list is invalid: part of a list is worse than an outdated
+// complete one.
 std::optional<TargetList> read_targets(simdjson::dom::object object);
 std::optional<TargetList> read_targets(std::string_view text);
 
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -1,5 +1,5 @@
-// The platform's configuration, discovery entries and commands, each as it should be and wrong in
-// one place.
+// Reading the platform's configuration, lists of hosts and commands: valid ones, and ones with a
+// single error.
 #include <gtest/gtest.h>
 
 #include "platform/request.h"
