--- a/src/openapi/description.cpp
+++ b/src/openapi/description.cpp
@@ -32,11 +32,11 @@
         const std::size_t problems_before = problems_.size();
         root_ = &root;
         if (!root.is(Kind::mapping))
-            return add_problem(root, "document", "a mapping with 'openapi'"), nullptr;
+            return add_problem(root, "document", "a mapping with the key 'openapi'"), nullptr;
         const std::string version = read_scalar(root, "openapi", "");
         if (!version.starts_with("3.0.") && !version.starts_with("3.1."))
             add_problem(member_or_parent(root, "openapi"), "openapi",
-                        fmt::format("a version 3.0.x or 3.1.x, not '{}'", version));
+                        fmt::format("version 3.0.x or 3.1.x, not '{}'", version));
         if (const Value* info = root.find("info")) {
             description_->title = read_scalar(*info, "title", "");
             description_->version = read_scalar(*info, "version", "");
@@ -48,7 +48,7 @@
         if (!paths || !paths->is(Kind::mapping)) {
             // OpenAPI 3.1 allows a description with webhooks or components only; it has no routes
             // for a gateway.
-            add_problem(paths ? *paths : root, "paths", "a mapping of path to operations");
+            add_problem(paths ? *paths : root, "paths", "a mapping of paths to path items");
         } else {
             for (const auto& [path, item] : paths->members)
                 if (!path.starts_with("x-")) read_path(path, item, base_paths);
@@ -89,13 +89,14 @@
             const Value* target = resolve_pointer(std::string_view(reference->text).substr(1));
             if (!target) {
                 add_problem(*reference, field + ".$ref",
-                            fmt::format("a place in this file, '{}' is none", reference->text));
+                            fmt::format("a reference to an existing value; '{}' does not exist",
+                                        reference->text));
                 return nullptr;
             }
             current = target;
         }
         add_problem(value, field + ".$ref",
-                    "a reference that ends; this one goes round in a circle");
+                    "a reference that ends; this chain of references is circular or too long");
         return nullptr;
     }
     // Resolves a JSON pointer (RFC 6901); nullptr where it has no target.
@@ -149,7 +150,7 @@
         for (const Value& server : servers->items) {
             const Value* url = server.find("url");
             if (!url || !url->is(Kind::scalar)) {
-                add_problem(server, field + "[].url", "the server's URL");
+                add_problem(server, field + "[].url", "the URL of the server");
                 continue;
             }
             for (std::string& base_path : expand_variables(server, url->text, field)) {
@@ -157,7 +158,9 @@
                 const bool is_plain = base_path.empty() || check_path(base_path) == PathFault::none;
                 if (!is_plain || base_path.find_first_of("{}?#") != std::string::npos)
                     add_problem(*url, field + "[].url",
-                                fmt::format("a URL whose path is plain, not '{}'", base_path));
+                                fmt::format("a URL whose path has no dot segments, invalid "
+                                            "escapes, braces, query or fragment, not '{}'",
+                                            base_path));
                 else if (std::find(base_paths.begin(), base_paths.end(), base_path) ==
                          base_paths.end())
                     base_paths.push_back(base_path);
@@ -200,7 +203,7 @@
                 values.push_back(default_value->text);
             if (values.empty()) {
                 add_problem(server, fmt::format("{}[].variables.{}", field, name),
-                            "a default or an enum");
+                            "a default value or an enum");
                 values.emplace_back("x");
             }
             std::vector<std::string> expanded;
@@ -216,7 +219,8 @@
                 }
             if (expanded.size() > max_base_paths) {
                 add_problem(server, field,
-                            fmt::format("{} URLs at most from its variables", max_base_paths));
+                            fmt::format("at most {} URLs from the values of its variables",
+                                        max_base_paths));
                 return {""};
             }
             urls = std::move(expanded);
@@ -255,7 +259,8 @@
                     add_problem(member_or_parent(*scheme, "in"), field + ".in",
                                 "header, query or cookie");
                 if (carrier.name.empty())
-                    add_problem(*scheme, field + ".name", "the name that carries the key");
+                    add_problem(*scheme, field + ".name",
+                                "the name of the parameter that carries the key");
                 schemes_[name] = carrier;
             } else if (type == "http") {
                 std::string http_scheme = read_scalar(*scheme, "scheme", "");
@@ -286,7 +291,7 @@
                 const auto scheme = schemes_.find(name);
                 if (scheme == schemes_.end())
                     add_problem(scopes, fmt::format("{}.security.{}", field, name),
-                                "a name of components.securitySchemes");
+                                "a scheme that is defined in components.securitySchemes");
                 else if (scheme->second && !key_carrier)
                     key_carrier = scheme->second;
             }
@@ -325,7 +330,7 @@
             const auto location = locations.find(in);
             if (name.empty() || location == locations.end()) {
                 add_problem(*parameter, field + ".parameters[]",
-                            "a name, and in: header, query, cookie or path");
+                            "a name and a location (in: header, query, cookie or path)");
                 continue;
             }
             Parameter entry{{location->second, name, false}, false};
@@ -347,7 +352,7 @@
         const Value* item = resolve_reference(item_or_reference, path);
         if (!item) return;
         if (!item->is(Kind::mapping))
-            return add_problem(item_or_reference, path, "a mapping of method to operation");
+            return add_problem(item_or_reference, path, "a mapping of methods to operations");
         std::vector<std::string> template_names;
         if (!check_template(path, item_or_reference, template_names)) return;
         check_extensions(*item, path);
@@ -388,8 +393,7 @@
             const bool is_inside = open_brace != std::string::npos;
             if (path[i] == '{') {
                 if (is_inside || after_close == i)
-                    return add_problem(where, path, "names in braces with text between them"),
-                           false;
+                    return add_problem(where, path, "text between adjacent names in braces"), false;
                 open_brace = i;
             } else if (path[i] == '}') {
                 if (!is_inside || open_brace + 1 == i)
@@ -397,7 +401,8 @@
                 template_names.push_back(path.substr(open_brace + 1, i - open_brace - 1));
                 open_brace = std::string::npos, after_close = i + 1;
             } else if (path[i] == '/' && is_inside) {
-                return add_problem(where, path, "braces that close within their segment"), false;
+                return add_problem(where, path, "names in braces that do not span path segments"),
+                       false;
             }
         }
         if (open_brace != std::string::npos)
@@ -407,7 +412,7 @@
         std::vector<std::string> sorted_names = template_names;
         std::sort(sorted_names.begin(), sorted_names.end());
         if (std::adjacent_find(sorted_names.begin(), sorted_names.end()) != sorted_names.end())
-            return add_problem(where, path, "each name once in a path"), false;
+            return add_problem(where, path, "each parameter name only once in a path"), false;
         return true;
     }
 
@@ -447,7 +452,8 @@
             route_at_base.path = base_path + path;
             if (const Route* existing = description_->table.add(std::move(route_at_base)))
                 add_problem(operation, field,
-                            fmt::format("another path; the same one stands at line {} as {}",
+                            fmt::format("a method and path that no other operation has; line {} "
+                                        "defines the equivalent {}",
                                         existing->line, existing->path));
         }
     }
@@ -457,8 +463,9 @@
         const ExtensionValue extension = nearest_extension("class", operation, item);
         if (!extension.value) {
             if (policy_.reject_unpriced)
-                return add_problem(operation, field,
-                                   "a class (x-silverreach-class here, on the path or the root)");
+                return add_problem(
+                    operation, field,
+                    "a class (x-silverreach-class on the operation, its path or the root)");
             route.request_class = policy_.default_class, route.class_origin = "policy";
             return;
         }
@@ -482,7 +489,7 @@
                             fmt::format("a number from 0 to {}", policy_.max_units));
         } else if (policy_.reject_unpriced) {
             add_problem(operation, field,
-                        "a cost (x-silverreach-units here, on the path or the root)");
+                        "units (x-silverreach-units on the operation, its path or the root)");
         } else {
             route.units = policy_.default_units, route.units_origin = "policy";
         }
@@ -529,9 +536,9 @@
         else if (extension.value->text == "keyed" && has_key)
             route.idempotency = Idempotency::idempotency_key;
         else if (extension.value->text == "keyed")
-            add_problem(
-                *extension.value, field + " x-silverreach-effect",
-                "a header parameter Idempotency-Key beside 'keyed'; hosts drop repeats by it");
+            add_problem(*extension.value, field + " x-silverreach-effect",
+                        "a header parameter Idempotency-Key where the effect is 'keyed'; hosts use "
+                        "it to drop duplicates");
         else
             add_problem(*extension.value, field + " x-silverreach-effect", "safe, keyed or unsafe");
     }
