--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -58,7 +58,7 @@
     };
     result.name = variable_or_key("NODE_NAME", "name").value_or("node");
     const auto listen = variable_or_key("NODE_LISTEN", "listen");
-    if (!listen) fail("listen", "an IP address and port, here or in NODE_LISTEN");
+    if (!listen) fail("listen", "an IP address and port, in the file or in NODE_LISTEN");
     result.listen = read_endpoint(*listen, "listen");
     // Here the file overrides the variable: a new configuration file may name another address,
     // while the variable keeps its value.
@@ -67,7 +67,7 @@
     else if (const auto address = variable_or_key("NODE_DISCOVERY", "discovery"))
         result.discovery = read_endpoint(*address, "NODE_DISCOVERY");
     else
-        fail("discovery", "an IP address and port, here or in NODE_DISCOVERY");
+        fail("discovery", "an IP address and port, in the file or in NODE_DISCOVERY");
     if (const auto value = json::optional_key(root, "seed")) result.seed = read_seed(*value);
     if (const auto value = json::optional_key(root, "limits"))
         read_limits(json::as_object(*value, "limits"), result.limits);
@@ -89,7 +89,7 @@
         json::read(json::as_object(*value, "familyInfo"), "unitsTop", result.max_units);
     if (const auto value = json::optional_key(root, "known")) {
         const auto list = read_targets(json::as_object(*value, "known"));
-        if (!list) fail("known", "a list of hosts in discovery's form");
+        if (!list) fail("known", "a list of hosts in the format of discovery");
         result.initial_list = *list;
     }
     return result;
--- a/src/platform/object_reader.cpp
+++ b/src/platform/object_reader.cpp
@@ -10,7 +10,7 @@
         bytes.remove_prefix(std::min(bytes.find_first_not_of(" \t\r\n"), bytes.size()));
         if (bytes.empty()) return Status::incomplete;
         if (bytes.front() != '{')
-            return error_ = "something else than an object", Status::malformed;
+            return error_ = "data that does not start with an object", Status::malformed;
     }
     std::size_t length = 0;
     bool is_complete = false;
@@ -20,7 +20,7 @@
             // A JSON string contains no raw line break: the object was cut off and another line
             // follows.
             if (static_cast<unsigned char>(character) < ' ')
-                return error_ = "a text that does not end", Status::malformed;
+                return error_ = "a control character in a string", Status::malformed;
             in_string_ = escaped_ || character != '"';
             escaped_ = !escaped_ && character == '\\';
         } else if (character == '"') {
@@ -34,7 +34,7 @@
     object_.append(bytes.substr(0, length));
     bytes.remove_prefix(length);
     if (object_.size() > max_object_bytes_)
-        return error_ = "an object without end", Status::malformed;
+        return error_ = "an object over the size limit", Status::malformed;
     return is_complete ? Status::complete : Status::incomplete;
 }
 
