--- a/src/core/account_subset.h
+++ b/src/core/account_subset.h
@@ -1,11 +1,11 @@
-// The gateway instances through which one account's requests arrive.
+// The gateway instances that receive the requests of one account.
 #pragma once
 
 #include <string_view>
 
 namespace silverreach::core {
 
-// `size` instances from rank `start` on, modulo the fleet.
+// `size` instances with consecutive ranks from `start`, modulo the number of instances.
 struct AccountSubset {
     int size = 1;
     int start = 0;
@@ -14,8 +14,8 @@
     }
 };
 
-// The same on every instance: the start comes from a hash of the account's name. `subset_size` of
-// 0 or less, or above the fleet's: all instances.
+// Returns the same subset on every instance, because its start is a hash of the account's name. A
+// `subset_size` of 0 or less, or above `instance_count`, selects all instances.
 AccountSubset account_subset(std::string_view account, int instance_count, int subset_size);
 
 }  // namespace silverreach::core
--- a/src/core/attempt_key.h
+++ b/src/core/attempt_key.h
@@ -7,7 +7,7 @@
 
 namespace silverreach::core {
 
-// Attempts count from 0, in the order in which they are sent.
+// Attempts are numbered from 0, in the order in which they are sent.
 struct AttemptKey {
     RequestId request = 0;
     int attempt = 0;
--- a/src/core/client_request.h
+++ b/src/core/client_request.h
@@ -1,5 +1,5 @@
-// A client's request as a front end passes it to the core, and the responses that the core itself
-// gives.
+// A client's request as a front end passes it to the core, and the final responses that the core
+// generates itself.
 #pragma once
 
 #include <optional>
@@ -12,24 +12,24 @@
 
 struct ClientRequest {
     std::string account;
-    int plan = -1;                             // index into Settings::plans; negative: none
-    int request_class = 0;                     // index into Settings::classes
-    double units = 1;                          // estimate of what the quota is charged
-    Micros time_remaining{0};                  // until the client gives up
-    std::optional<AccountSubset> subset = {};  // absent: from the account's name
+    int plan = -1;             // index into Settings::plans; negative: unknown, no quota
+    int request_class = 0;     // index into Settings::classes
+    double units = 1;          // estimate, charged to the account's quota
+    Micros time_remaining{0};  // until the client gives up
+    std::optional<AccountSubset> subset = {};  // absent: computed from the account's name
 };
 
 enum class FailureReason {
-    bad_response,  // endpoints failed the request
-    timed_out      // no response within the client's time
+    bad_response,  // the attempts ended without a successful response
+    timed_out      // no response in time; attempts timed out, were cancelled or are in flight
 };
 
-// A response that does not come from an endpoint.
+// A final response that the gateway generates itself.
 struct FinalResponse {
     bool rejected = false;  // true: safe to retry; false: failed, the request may have run
-    RejectReason reject_reason = RejectReason::quota_exhausted;  // where rejected
-    FailureReason failure_reason = FailureReason::bad_response;  // where failed
-    Micros retry_after{0};                                       // 0: none
+    RejectReason reject_reason = RejectReason::quota_exhausted;  // if rejected
+    FailureReason failure_reason = FailureReason::bad_response;  // if not rejected
+    Micros retry_after{0};  // delay after which the client may retry; 0: none
 };
 
 }  // namespace silverreach::core
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -1,4 +1,4 @@
-// Totals of one coordinator since its start.
+// Counters of one coordinator since its start.
 #pragma once
 
 #include <cstdint>
@@ -9,17 +9,19 @@
 
 struct Counters {
     std::uint64_t received = 0;
-    std::uint64_t served = 0;  // got an endpoint's response
+    std::uint64_t served = 0;  // requests with a successful response of an endpoint
     std::uint64_t rejected = 0;
     std::uint64_t failed = 0;
-    std::uint64_t disconnected = 0;  // clients that left before the end
-    std::uint64_t aborted = 0;       // responses that broke or were aborted while streaming
+    std::uint64_t disconnected = 0;  // requests whose client disconnected before their completion
+    std::uint64_t aborted = 0;       // streamed responses that ended incomplete or at the deadline
     std::uint64_t attempts = 0;
-    rules::BlockCounters blocked_choices;  // attempts that the rules stopped when they were chosen
-    rules::BlockCounters blocked_sends;    // and before their bytes were sent
-    // Violations; 0 in a correct program.
-    std::uint64_t late_responses = 0;      // own responses after the client's deadline
-    std::uint64_t unchecked_attempts = 0;  // answered by an endpoint without a check before sending
+    rules::BlockCounters blocked_choices;  // attempts blocked when the engine chose them
+    rules::BlockCounters blocked_sends;    // attempts blocked before their bytes were sent
+    // The last two count violations of an invariant; 0 in a correct program.
+    // Responses of the gateway itself, more than late_response_tolerance after the deadline.
+    std::uint64_t late_responses = 0;
+    // Attempts with a successful response that begin_send() had not allowed.
+    std::uint64_t unchecked_attempts = 0;
 };
 
 }  // namespace silverreach::core
--- a/src/core/request_coordinator.cpp
+++ b/src/core/request_coordinator.cpp
@@ -14,6 +14,7 @@
 using namespace std::chrono_literals;
 
 constexpr Micros late_response_tolerance = 50ms;  // after the deadline
+// Lower limit of what begin_send() returns, for an attempt whose deadline has passed.
 constexpr Micros min_endpoint_time = 1us;
 
 FailureReason failure_reason(const Request& request) {
@@ -120,8 +121,8 @@
     requests_.erase_if_finished(key.request);
 }
 
-// Attempts in flight go on: endpoints do not stop for a cancellation, and their responses still
-// carry load reports.
+// Attempts that have been sent continue, except one whose response is being streamed: endpoints do
+// not stop when an attempt is cancelled, and their responses still carry load reports.
 void RequestCoordinator::on_client_disconnected(Micros now, RequestId id) {
     Request* request = requests_.find(id);
     if (!request || request->state == RequestState::completed) return;
@@ -159,8 +160,8 @@
         stop_attempt(now, key, Outcome::timeout);
 }
 
-// Calls that come back while actions are carried out are queued, so that the engine handles one
-// event at a time, in order.
+// Queues events of calls that the environment makes while actions are carried out, so that the
+// engine handles one event at a time, in order.
 void RequestCoordinator::handle_event(Micros now, Event event) {
     event_queue_.push_back(std::move(event));
     if (handling_event_) return;
@@ -177,7 +178,7 @@
     handling_event_ = false;
 }
 
-// An attempt that the rules stop is reported to the engine as never started.
+// Reports an attempt that the rules block to the engine as not_started.
 void RequestCoordinator::carry_out(Micros now, const SendAttempt& action) {
     const auto report_not_started = [&](bool request_completed) {
         event_queue_.emplace_back(AttemptEnded{.id = action.id,
@@ -200,7 +201,8 @@
     const Micros attempt_deadline = own_timeout ? now + action.timeout : record.deadline;
     request->attempt_deadlines.push_back(attempt_deadline);
     ++counters_.attempts;
-    // The request's deadline stops all its attempts; an earlier one needs a timer of its own.
+    // The timer for the request's deadline stops all its attempts. An attempt with an earlier
+    // deadline gets its own timer.
     if (own_timeout) environment_.start_timer(action.timeout, encode_timer(key));
     environment_.send_attempt(key, action.endpoint, attempt_deadline - now);
 }
@@ -242,8 +244,8 @@
     requests_.erase_if_finished(id);
 }
 
-// The engine has responded before the deadline; if it has not, the coordinator does, so that the
-// invariant does not depend on the engine's timers. Attempts in flight end as timed out.
+// The engine normally responds before the deadline. If it has not, the coordinator responds, so
+// that the invariant does not depend on the engine's timers. Attempts in flight end as timed out.
 void RequestCoordinator::on_request_deadline(Micros now, RequestId id) {
     Request* request = requests_.find(id);
     if (!request) return;
@@ -266,12 +268,12 @@
 void RequestCoordinator::stop_attempt(Micros now, const AttemptKey& key, Outcome outcome) {
     const rules::AttemptRecord* found = requests_.find_attempt(key);
     if (!found || found->ended) return;
-    const rules::AttemptRecord attempt = *found;  // the environment may end the request meanwhile
+    const rules::AttemptRecord attempt = *found;  // copy: cancel_attempt may erase the request
     environment_.cancel_attempt(key);
     on_attempt_ended(now, key, attempt.endpoint, outcome, now - attempt.chosen_at, {});
 }
 
-// Once its request is completed, an attempt that waits for its connection would run for nobody.
+// Once a request is completed, no client needs the response of an attempt that has not been sent.
 void RequestCoordinator::withdraw_unsent_attempts(Micros now, RequestId id) {
     for (AttemptKey key{id, 0}; const auto* found = requests_.find_attempt(key); ++key.attempt) {
         const rules::AttemptRecord attempt = *found;
--- a/src/core/request_coordinator.h
+++ b/src/core/request_coordinator.h
@@ -1,9 +1,10 @@
-// The life of every request, independent of protocol.
+// Tracks every request from its arrival to its final response, independent of the protocol.
 //
-// The coordinator turns what happens into the decision engine's events, carries out the engine's
-// actions through the Environment, and checks each attempt against the rules. Its invariant: every
-// request gets exactly one final response. It does no I/O and has no clock: each call passes the
-// time, which never decreases. The states of a request are in request_table.h.
+// The coordinator turns calls into events of the decision engine, carries out the engine's actions
+// through the Environment, and checks each attempt against the rules. Invariant: every request gets
+// exactly one final response, unless its client disconnects first. The coordinator does no I/O and
+// has no clock: each call passes the time, which never decreases. The states of a request are in
+// request_table.h.
 #pragma once
 
 #include <cstddef>
@@ -27,25 +28,29 @@
 // Not thread-safe: all calls come from one thread.
 class RequestCoordinator {
   public:
-    // `subset_size`: instances per account, see account_subset(). Throws std::invalid_argument
-    // where the settings cannot work. `environment` must outlive the coordinator.
+    // `subset_size`: instances per account, see account_subset(). Throws std::invalid_argument as
+    // silverreach::validate() does. `environment` must outlive the coordinator.
     RequestCoordinator(const Settings& settings, int subset_size, std::uint64_t seed, Micros now,
                        Environment& environment);
 
-    // An id for the next request, so that the caller can register it before the first action.
+    // Returns a new request id, so that the caller can register it before the coordinator's first
+    // action for the request.
     RequestId next_id() { return next_id_++; }
     void start_request(Micros now, RequestId id, const ClientRequest& client_request);
-    // A successful response starts after `duration`. True: forward it to the client; false: discard
-    // it, the request has its final response. `actual_units`: what the request cost as the endpoint
-    // counted it; 0: not reported.
+    // Called when a successful response starts; `duration`: of the attempt until then. Returns true
+    // if the response is to be forwarded to the client, and false if it is to be discarded, because
+    // the attempt has ended or the request needs no response any more. `actual_units`: cost of the
+    // request as the endpoint counted it; 0: not reported.
     bool on_response_started(Micros now, const AttemptKey& key, const std::string& endpoint,
                              Micros duration, const LoadReport& report, double actual_units = 0);
-    // Called by the transport just before an attempt's bytes are sent. The time that its endpoint
-    // may take; nothing where the rules stop it: the transport then ends it as not_started.
+    // Called by the transport just before an attempt's bytes are sent. Returns the time that the
+    // endpoint may take, or nullopt if the rules block the attempt; the transport then ends the
+    // attempt as not_started.
     std::optional<Micros> begin_send(Micros now, const AttemptKey& key);
-    // The response that is streamed to the client has ended; `complete`: without a break.
+    // Called when a response streamed to the client has ended. `complete`: the endpoint sent all of
+    // it.
     void on_response_ended(Micros now, RequestId id, bool complete);
-    // `outcome` is not success. Ignored where the attempt's end is known.
+    // `outcome` must not be success. Ignored if the attempt has already ended.
     void on_attempt_ended(Micros now, const AttemptKey& key, const std::string& endpoint,
                           Outcome outcome, Micros duration, const LoadReport& report);
     void on_client_disconnected(Micros now, RequestId id);
@@ -56,7 +61,7 @@
 
     AccountSubset subset_of(std::string_view account) const;
     const Counters& counters() const { return counters_; }
-    // Requests that are not erased yet.
+    // Number of requests that are not erased yet.
     std::size_t in_flight() const { return requests_.size(); }
 
   private:
@@ -71,7 +76,8 @@
 
     void respond(Micros now, RequestId id, const FinalResponse& response);
     void on_request_deadline(Micros now, RequestId id);
-    // Cancels an attempt in flight and reports it with `outcome`; nothing where it has ended.
+    // Cancels an attempt in flight and reports its end with `outcome` to the engine. Does nothing
+    // if the attempt has ended.
     void stop_attempt(Micros now, const AttemptKey& key, Outcome outcome);
     void withdraw_unsent_attempts(Micros now, RequestId id);
 
@@ -84,7 +90,8 @@
     RequestTable requests_;
     std::deque<Event> event_queue_;
     bool handling_event_ = false;
-    bool transport_checks_sends_ = false;  // it has called begin_send
+    // True after the first call of begin_send(). Before it, unchecked attempts are not counted.
+    bool transport_checks_sends_ = false;
     Counters counters_;
 };
 
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -2,7 +2,8 @@
 //
 //   pending    --a successful response starts-->              streaming
 //   pending    --rejected, failed, client disconnected-->     completed
-//   streaming  --response ends, breaks or is aborted-->       completed
+//   streaming  --response ends or is aborted-->               completed
+//   streaming  --client disconnected-->                       completed
 //
 // A request is erased once it is completed and all its attempts have ended.
 #pragma once
@@ -25,16 +26,16 @@
 
 struct Request {
     RequestState state = RequestState::pending;
-    int streaming_attempt = -1;  // whose response goes to the client; negative: none
+    int streaming_attempt = -1;  // its response is forwarded to the client; negative: none
     Outcome last_outcome = Outcome::success;
     rules::RequestRecord record;
-    std::vector<Micros> attempt_deadlines;  // clock times, by attempt
+    std::vector<Micros> attempt_deadlines;  // clock times, by attempt number
 
     void start_streaming(int attempt);
-    // The client got its final response from the gateway itself.
+    // Called when the gateway itself sends the final response.
     void complete_with_own_response();
     void complete_without_client();
-    // The end of a streamed response, whole or not.
+    // Called when a streamed response ends, complete or not.
     void complete_streaming();
     bool has_attempt_in_flight() const;
 };
@@ -44,11 +45,12 @@
     // Pointers stay valid until the request is erased.
     Request& create(RequestId id) { return requests_[id]; }
     Request* find(RequestId id);
-    // Null where there is no such request or attempt.
+    // Returns null if there is no such request or attempt.
     rules::AttemptRecord* find_attempt(const AttemptKey& key);
-    // Marks the attempt as ended. `never_ran`: its end proves that the endpoint did not execute it.
-    // Returns its request; null where the attempt is unknown or has ended before.
+    // Marks the attempt as ended and returns its request. Returns null if the attempt is unknown or
+    // has already ended. `never_ran`: the outcome proves that the endpoint did not execute it.
     Request* end_attempt(const AttemptKey& key, bool never_ran = false);
+    // Erases the request if it is completed and all its attempts have ended.
     void erase_if_finished(RequestId id);
     std::size_t size() const { return requests_.size(); }
 
--- a/src/core/timer_token.h
+++ b/src/core/timer_token.h
@@ -1,4 +1,5 @@
-// Tokens of the core's own timers, told apart from the decision engine's by their top bit.
+// Tokens of the core's own timers. Their top bit is set, unlike that of the decision engine's
+// tokens.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +9,7 @@
 
 namespace silverreach::core {
 
-// In place of an attempt's number: the timer is the request's deadline.
+// Attempt number in the token of the timer for a request's deadline.
 inline constexpr int request_deadline = 255;
 
 inline constexpr std::uint64_t core_timer_bit = 1ULL << 63;
--- a/tests/core/fake_environment.h
+++ b/tests/core/fake_environment.h
@@ -1,4 +1,4 @@
-// A RequestCoordinator with an environment that records what it is asked for, and a simulated
+// A RequestCoordinator with an environment that records the coordinator's calls, and a simulated
 // clock.
 #pragma once
 
@@ -26,11 +26,12 @@
     explicit FakeEnvironment(const Settings& settings);
 
     RequestId start_request(Micros time_remaining = Micros{1'000'000});
-    // A successful response to a sent attempt starts now. True: it is forwarded to the client.
+    // Starts a successful response to a sent attempt. Returns whether the response is forwarded to
+    // the client.
     bool start_response(const SentAttempt& sent, Micros duration);
     void fail_attempt(const SentAttempt& sent, Outcome outcome, Micros duration);
     void end_response(RequestId id) { coordinator.on_response_ended(now, id, true); }
-    // Moves the clock; timers due on the way fire at their own times.
+    // Advances the clock; timers that become due in between fire at their due times.
     void advance(Micros duration);
 
     void start_timer(Micros delay, Timer timer) override;
@@ -48,14 +49,14 @@
     std::vector<AttemptKey> withdrawn;
     std::vector<FinishedRequest> finished;
     std::vector<RequestId> aborted;
-    bool attempts_wait_for_connection = false;  // so that they can be withdrawn
+    bool attempts_wait_for_connection = false;  // true: attempts can be withdrawn
     std::function<void(const SentAttempt&)> on_send;
 
   private:
-    std::multimap<Micros, Timer> timers_;  // by the time at which they are due
+    std::multimap<Micros, Timer> timers_;  // by due time
 
   public:
-    RequestCoordinator coordinator;  // last: it calls the environment
+    RequestCoordinator coordinator;  // last member, because it calls the environment
 };
 
 }  // namespace silverreach::core
--- a/tests/core/request_coordinator_test.cpp
+++ b/tests/core/request_coordinator_test.cpp
@@ -46,7 +46,7 @@
 
 TEST(RequestCoordinator, LaterResponseOfAHedgedRequestIsDiscarded) {
     FakeEnvironment environment(test_settings());
-    for (int request = 0; request < 30; ++request) {  // the engine learns the response time
+    for (int request = 0; request < 30; ++request) {  // so that the engine learns the response time
         const RequestId id = environment.start_request();
         const auto sent = environment.sent.back();
         environment.advance(5ms);
