--- a/src/core/request_coordinator.cpp
+++ b/src/core/request_coordinator.cpp
@@ -15,7 +15,7 @@
 
 constexpr Micros late_response_tolerance = 50ms;  // after the deadline
 // Lower limit of what begin_send() returns, for an attempt whose deadline has passed.
-constexpr Micros min_endpoint_time = 1us;
+constexpr Micros min_endpoint_timeout = 1us;
 
 FailureReason failure_reason(const Request& request) {
     const bool timed_out = request.has_attempt_in_flight() ||
@@ -45,7 +45,8 @@
     rules::RequestRecord& record = requests_.create(id).record;
     record.request_class = client_request.request_class;
     record.deadline = now + client_request.time_remaining;
-    environment_.start_timer(client_request.time_remaining, encode_timer({id, request_deadline}));
+    environment_.start_timer(client_request.time_remaining,
+                             encode_timer({id, request_deadline_attempt}));
     handle_event(now, RequestArrived{.id = id,
                                      .customer = client_request.account,
                                      .plan = client_request.plan,
@@ -61,10 +62,10 @@
                                              const LoadReport& report, double actual_units) {
     Request* request = requests_.end_attempt(key);
     if (!request) return false;
-    if (transport_checks_sends_ && requests_.find_attempt(key)->sent_at == 0us)
+    if (transport_calls_begin_send_ && requests_.find_attempt(key)->sent_at == 0us)
         ++counters_.unchecked_attempts;
-    const bool forward = request->state == RequestState::pending;
-    if (forward) {
+    const bool should_forward = request->state == RequestState::pending;
+    if (should_forward) {
         request->start_streaming(key.attempt);
         ++counters_.served;
     }
@@ -76,30 +77,30 @@
                                    .request_completed = true,
                                    .actual_units = actual_units,
                                    .load_report = report});
-    if (forward) withdraw_unsent_attempts(now, key.request);
+    if (should_forward) withdraw_unsent_attempts(now, key.request);
     requests_.erase_if_finished(key.request);
-    return forward;
+    return should_forward;
 }
 
 std::optional<Micros> RequestCoordinator::begin_send(Micros now, const AttemptKey& key) {
-    transport_checks_sends_ = true;
+    transport_calls_begin_send_ = true;
     rules::AttemptRecord* attempt = requests_.find_attempt(key);
     if (!attempt || attempt->ended) return std::nullopt;
     const Request& request = *requests_.find(key.request);
     const auto index = static_cast<std::size_t>(key.attempt);
-    if (const rules::Verdict blocked = rules_.check_send(now, request.record, index)) {
-        counters_.blocked_sends.add(*blocked);
-        environment_.on_attempt_blocked(key, attempt->endpoint, *blocked);
+    if (const rules::Verdict block_reason = rules_.check_send(now, request.record, index)) {
+        counters_.blocked_sends.add(*block_reason);
+        environment_.on_attempt_blocked(key, attempt->endpoint, *block_reason);
         return std::nullopt;
     }
     attempt->sent_at = now;
-    return std::max(request.attempt_deadlines[index] - now, min_endpoint_time);
+    return std::max(request.attempt_deadlines[index] - now, min_endpoint_timeout);
 }
 
-void RequestCoordinator::on_response_ended(Micros /*now*/, RequestId id, bool complete) {
+void RequestCoordinator::on_response_ended(Micros /*now*/, RequestId id, bool is_complete) {
     Request* request = requests_.find(id);
     if (!request || request->state != RequestState::streaming) return;
-    if (!complete) ++counters_.aborted;
+    if (!is_complete) ++counters_.aborted;
     request->complete_streaming();
     requests_.erase_if_finished(id);
 }
@@ -126,35 +127,35 @@
 void RequestCoordinator::on_client_disconnected(Micros now, RequestId id) {
     Request* request = requests_.find(id);
     if (!request || request->state == RequestState::completed) return;
-    const bool streaming = request->state == RequestState::streaming;
+    const bool was_streaming = request->state == RequestState::streaming;
     const AttemptKey streaming_key{id, request->streaming_attempt};
     ++counters_.disconnected;
-    request->complete_without_client();
+    request->complete_after_disconnect();
     withdraw_unsent_attempts(now, id);
-    if (streaming)
+    if (was_streaming)
         environment_.cancel_attempt(streaming_key);
     else
         handle_event(now, ClientDisconnected{id});
     requests_.erase_if_finished(id);
 }
 
-void RequestCoordinator::on_endpoints_changed(Micros now, EndpointsChanged change) {
-    rules_.on_endpoints_changed(change);
-    handle_event(now, std::move(change));
+void RequestCoordinator::on_endpoints_changed(Micros now, EndpointsChanged event) {
+    rules_.on_endpoints_changed(event);
+    handle_event(now, std::move(event));
 }
 
-void RequestCoordinator::on_health_check_ended(Micros now, HealthCheckEnded ended) {
-    handle_event(now, std::move(ended));
+void RequestCoordinator::on_health_check_ended(Micros now, HealthCheckEnded event) {
+    handle_event(now, std::move(event));
 }
 
-void RequestCoordinator::on_peer_message(Micros now, PeerMessageReceived message) {
-    handle_event(now, std::move(message));
+void RequestCoordinator::on_peer_message(Micros now, PeerMessageReceived event) {
+    handle_event(now, std::move(event));
 }
 
 void RequestCoordinator::on_timer(Micros now, Timer timer) {
     if (!is_core_timer(timer)) return handle_event(now, TimerFired{timer.token});
     const AttemptKey key = decode_timer(timer);
-    if (key.attempt == request_deadline)
+    if (key.attempt == request_deadline_attempt)
         on_request_deadline(now, key.request);
     else
         stop_attempt(now, key, Outcome::timeout);
@@ -164,8 +165,8 @@
 // engine handles one event at a time, in order.
 void RequestCoordinator::handle_event(Micros now, Event event) {
     event_queue_.push_back(std::move(event));
-    if (handling_event_) return;
-    handling_event_ = true;
+    if (is_handling_event_) return;
+    is_handling_event_ = true;
     std::vector<Action> actions;
     while (!event_queue_.empty()) {
         const Event next = std::move(event_queue_.front());
@@ -175,7 +176,7 @@
         for (const Action& action : actions)
             std::visit([&](const auto& typed_action) { carry_out(now, typed_action); }, action);
     }
-    handling_event_ = false;
+    is_handling_event_ = false;
 }
 
 // Reports an attempt that the rules block to the engine as not_started.
@@ -190,20 +191,20 @@
     if (!request) return report_not_started(true);
     rules::RequestRecord& record = request->record;
     const AttemptKey key{action.id, static_cast<int>(record.attempts.size())};
-    if (const rules::Verdict blocked = rules_.check_start(now, record, action.endpoint)) {
-        counters_.blocked_choices.add(*blocked);
-        environment_.on_attempt_blocked(key, action.endpoint, *blocked);
+    if (const rules::Verdict block_reason = rules_.check_start(now, record, action.endpoint)) {
+        counters_.blocked_choices.add(*block_reason);
+        environment_.on_attempt_blocked(key, action.endpoint, *block_reason);
         return report_not_started(request->state != RequestState::pending ||
                                   now >= record.deadline);
     }
     record.attempts.push_back(rules_.make_attempt(action.endpoint, now));
-    const bool own_timeout = action.timeout > 0us && now + action.timeout < record.deadline;
-    const Micros attempt_deadline = own_timeout ? now + action.timeout : record.deadline;
+    const bool has_own_timeout = action.timeout > 0us && now + action.timeout < record.deadline;
+    const Micros attempt_deadline = has_own_timeout ? now + action.timeout : record.deadline;
     request->attempt_deadlines.push_back(attempt_deadline);
     ++counters_.attempts;
     // The timer for the request's deadline stops all its attempts. An attempt with an earlier
     // deadline gets its own timer.
-    if (own_timeout) environment_.start_timer(action.timeout, encode_timer(key));
+    if (has_own_timeout) environment_.start_timer(action.timeout, encode_timer(key));
     environment_.send_attempt(key, action.endpoint, attempt_deadline - now);
 }
 
@@ -236,7 +237,7 @@
 void RequestCoordinator::respond(Micros now, RequestId id, const FinalResponse& response) {
     Request* request = requests_.find(id);
     if (!request || request->state != RequestState::pending) return;
-    request->complete_with_own_response();
+    request->complete_with_gateway_response();
     if (now > request->record.deadline + late_response_tolerance) ++counters_.late_responses;
     ++(response.rejected ? counters_.rejected : counters_.failed);
     environment_.finish_request(id, response);
--- a/src/core/request_coordinator.h
+++ b/src/core/request_coordinator.h
@@ -47,16 +47,16 @@
     // endpoint may take, or nullopt if the rules block the attempt; the transport then ends the
     // attempt as not_started.
     std::optional<Micros> begin_send(Micros now, const AttemptKey& key);
-    // Called when a response streamed to the client has ended. `complete`: the endpoint sent all of
-    // it.
-    void on_response_ended(Micros now, RequestId id, bool complete);
+    // Called when a response streamed to the client has ended. `is_complete`: the endpoint sent all
+    // of it.
+    void on_response_ended(Micros now, RequestId id, bool is_complete);
     // `outcome` must not be success. Ignored if the attempt has already ended.
     void on_attempt_ended(Micros now, const AttemptKey& key, const std::string& endpoint,
                           Outcome outcome, Micros duration, const LoadReport& report);
     void on_client_disconnected(Micros now, RequestId id);
-    void on_endpoints_changed(Micros now, EndpointsChanged change);
-    void on_health_check_ended(Micros now, HealthCheckEnded ended);
-    void on_peer_message(Micros now, PeerMessageReceived message);
+    void on_endpoints_changed(Micros now, EndpointsChanged event);
+    void on_health_check_ended(Micros now, HealthCheckEnded event);
+    void on_peer_message(Micros now, PeerMessageReceived event);
     void on_timer(Micros now, Timer timer);
 
     AccountSubset subset_of(std::string_view account) const;
@@ -89,9 +89,9 @@
     RequestId next_id_ = 1;
     RequestTable requests_;
     std::deque<Event> event_queue_;
-    bool handling_event_ = false;
+    bool is_handling_event_ = false;
     // True after the first call of begin_send(). Before it, unchecked attempts are not counted.
-    bool transport_checks_sends_ = false;
+    bool transport_calls_begin_send_ = false;
     Counters counters_;
 };
 
--- a/src/core/request_table.cpp
+++ b/src/core/request_table.cpp
@@ -10,12 +10,12 @@
     record.answered = true;
 }
 
-void Request::complete_with_own_response() {
+void Request::complete_with_gateway_response() {
     state = RequestState::completed;
     record.answered = true;
 }
 
-void Request::complete_without_client() {
+void Request::complete_after_disconnect() {
     state = RequestState::completed;
     record.client_disconnected = true;
 }
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -33,8 +33,8 @@
 
     void start_streaming(int attempt);
     // Called when the gateway itself sends the final response.
-    void complete_with_own_response();
-    void complete_without_client();
+    void complete_with_gateway_response();
+    void complete_after_disconnect();
     // Called when a streamed response ends, complete or not.
     void complete_streaming();
     bool has_attempt_in_flight() const;
--- a/src/core/timer_token.h
+++ b/src/core/timer_token.h
@@ -10,7 +10,7 @@
 namespace silverreach::core {
 
 // Attempt number in the token of the timer for a request's deadline.
-inline constexpr int request_deadline = 255;
+inline constexpr int request_deadline_attempt = 255;
 
 inline constexpr std::uint64_t core_timer_bit = 1ULL << 63;
 inline constexpr int attempt_bits = 8;
--- a/tests/core/account_subset_test.cpp
+++ b/tests/core/account_subset_test.cpp
@@ -20,8 +20,8 @@
             accounts_by_rank[static_cast<std::size_t>(rank)] +=
                 subset.contains(rank, instance_count) ? 1 : 0;
     }
-    for (const int accounts : accounts_by_rank)
-        EXPECT_NEAR(accounts, 600, 90);
-    EXPECT_TRUE(account_subset("x", 4, 0).contains(3, 4)) << "0 spreads over all";
+    for (const int account_count : accounts_by_rank)
+        EXPECT_NEAR(account_count, 600, 90);
+    EXPECT_TRUE(account_subset("x", 4, 0).contains(3, 4)) << "0 selects all instances";
     EXPECT_TRUE(account_subset("x", 4, 9).contains(0, 4));
 }
--- a/tests/core/fake_environment.cpp
+++ b/tests/core/fake_environment.cpp
@@ -18,7 +18,7 @@
 RequestId FakeEnvironment::start_request(Micros time_remaining) {
     const RequestId id = coordinator.next_id();
     coordinator.start_request(now, id,
-                              {.account = "birds", .plan = 0, .time_remaining = time_remaining});
+                              {.account = "account", .plan = 0, .time_remaining = time_remaining});
     return id;
 }
 
--- a/tests/core/fake_environment.h
+++ b/tests/core/fake_environment.h
@@ -28,8 +28,8 @@
     RequestId start_request(Micros time_remaining = Micros{1'000'000});
     // Starts a successful response to a sent attempt. Returns whether the response is forwarded to
     // the client.
-    bool start_response(const SentAttempt& sent, Micros duration);
-    void fail_attempt(const SentAttempt& sent, Outcome outcome, Micros duration);
+    bool start_response(const SentAttempt& sent_attempt, Micros duration);
+    void fail_attempt(const SentAttempt& sent_attempt, Outcome outcome, Micros duration);
     void end_response(RequestId id) { coordinator.on_response_ended(now, id, true); }
     // Advances the clock; timers that become due in between fire at their due times.
     void advance(Micros duration);
--- a/tests/core/request_coordinator_test.cpp
+++ b/tests/core/request_coordinator_test.cpp
@@ -12,14 +12,14 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Micros request_deadline_after = 1s;
+constexpr Micros request_timeout = 1s;
 
 Settings test_settings(Idempotency idempotency = Idempotency::idempotent) {
     Settings settings;
     settings.classes = {{.name = "read",
                          .idempotency = idempotency,
                          .latency_objective = 400ms,
-                         .deadline = request_deadline_after,
+                         .deadline = request_timeout,
                          .deduplication_window = 3s}};
     settings.plans = {{.name = "plan", .rate = 100, .burst = 100}};
     settings.max_attempts = 3;
@@ -70,7 +70,7 @@
          {Idempotency::idempotent, Idempotency::idempotency_key, Idempotency::non_idempotent}) {
         FakeEnvironment environment(test_settings(idempotency));
         environment.start_request();
-        environment.advance(request_deadline_after - 1ms);
+        environment.advance(request_timeout - 1ms);
         ASSERT_EQ(environment.finished.size(), 1u) << static_cast<int>(idempotency);
         const FinalResponse& response = environment.finished[0].response;
         EXPECT_EQ(response.rejected, idempotency == Idempotency::idempotent);
@@ -103,7 +103,7 @@
     environment.start_request();
     EXPECT_GT(environment.sent.size(), 1u);
     EXPECT_LE(environment.sent.size(), 3u) << "no more than max_attempts";
-    environment.advance(request_deadline_after);
+    environment.advance(request_timeout);
     EXPECT_EQ(environment.finished.size(), 1u);
     EXPECT_EQ(environment.coordinator.in_flight(), 0u);
 }
@@ -117,7 +117,7 @@
     environment.advance(2ms);
     EXPECT_EQ(environment.aborted, std::vector<RequestId>{id});
     EXPECT_EQ(environment.cancelled, std::vector<AttemptKey>{environment.sent[0].key})
-        << "the endpoint's side ends as well";
+        << "the attempt is cancelled at the endpoint as well";
     environment.end_response(id);
     EXPECT_TRUE(environment.finished.empty());
     EXPECT_EQ(environment.coordinator.counters().aborted, 1u);
@@ -144,24 +144,24 @@
     ASSERT_EQ(environment.withdrawn.size(), 1u);
     EXPECT_EQ(environment.withdrawn[0].request, id);
     EXPECT_EQ(environment.coordinator.in_flight(), 0u) << "no attempt is in flight";
-    EXPECT_EQ(environment.sent.size(), 1u) << "nor is it retried";
+    EXPECT_EQ(environment.sent.size(), 1u) << "and it is not retried";
 }
 
 TEST(RequestCoordinator, RejectionsCarryTheirReason) {
     Settings settings = test_settings();
     settings.plans = {{.name = "plan", .rate = 1, .burst = 2}};
-    FakeEnvironment limited(settings);
+    FakeEnvironment rate_limited(settings);
     for (int request = 0; request < 6; ++request)
-        limited.start_request();
-    ASSERT_FALSE(limited.finished.empty());
-    const FinalResponse& quota_response = limited.finished[0].response;
+        rate_limited.start_request();
+    ASSERT_FALSE(rate_limited.finished.empty());
+    const FinalResponse& quota_response = rate_limited.finished[0].response;
     EXPECT_TRUE(quota_response.rejected);
     EXPECT_EQ(quota_response.reject_reason, RejectReason::quota_exhausted);
     EXPECT_GT(quota_response.retry_after, 0us);
     FakeEnvironment without_endpoints(test_settings());
     without_endpoints.coordinator.on_endpoints_changed(without_endpoints.now, {true, {}});
     without_endpoints.start_request();
-    without_endpoints.advance(request_deadline_after);
+    without_endpoints.advance(request_timeout);
     ASSERT_EQ(without_endpoints.finished.size(), 1u);
     EXPECT_EQ(without_endpoints.finished[0].response.reject_reason, RejectReason::no_endpoint);
 }
