--- a/src/benchlink/action_writer.h
+++ b/src/benchlink/action_writer.h
@@ -1,4 +1,4 @@
-// Writes the engine's actions to the wire, one JSON line each.
+// Writes the engine's actions in the simulator's wire protocol, one JSON line for each action.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,9 @@
 
 class ActionWriter {
   public:
-    // `instance` is the number of the gateway instance that yielded the action.
+    // `instance`: number of the gateway instance whose engine yielded the action.
     void write(std::int64_t instance, const Action& action);
-    // Appends the lines written since the last call, and the line that ends a reply.
+    // Appends to `out` the lines written since the last call and the line that ends a reply.
     void finish_reply(std::string& out);
 
   private:
--- a/src/benchlink/base64.cpp
+++ b/src/benchlink/base64.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t bytes_per_group = 3;
 constexpr std::size_t digits_per_group = 4;
 
-// By character; negative: not in the alphabet.
+// Value of each character as a base64 digit; negative: not in the alphabet.
 constexpr std::array<std::int8_t, 256> digit_values = [] {
     std::array<std::int8_t, 256> values{};
     values.fill(-1);
--- a/src/benchlink/base64.h
+++ b/src/benchlink/base64.h
@@ -8,7 +8,7 @@
 namespace silverreach::benchlink {
 
 void append_base64(std::string& out, std::string_view bytes);
-// Nothing where the text is not base64 with padding.
+// Returns nullopt if the text is not base64 with padding.
 std::optional<std::string> from_base64(std::string_view text);
 
 }  // namespace silverreach::benchlink
--- a/src/benchlink/bench_link.cpp
+++ b/src/benchlink/bench_link.cpp
@@ -59,7 +59,7 @@
     Micros now_{0};
     bool in_batch_ = false;
     std::array<std::optional<std::vector<EndpointEntry>>, endpoint_list_count> endpoint_lists_;
-    std::map<std::int64_t, Instance> instances_;  // by number
+    std::map<std::int64_t, Instance> instances_;  // by instance number
     std::vector<Action> actions_;
     ActionWriter writer_;
 };
@@ -76,7 +76,7 @@
         return impl_->handle_line(line, out);
     } catch (const ValueError& error) {
         throw WireError(impl_->line_number(), error.what());
-    } catch (const std::invalid_argument& error) {  // settings that cannot work
+    } catch (const std::invalid_argument& error) {  // the engine rejects the settings
         throw WireError(impl_->line_number(), error.what());
     }
 }
--- a/src/benchlink/event_reader.h
+++ b/src/benchlink/event_reader.h
@@ -1,5 +1,5 @@
-// Reads the engine's events, and endpoint lists, from the wire. Each function throws
-// settings_json::ValueError where a value is missing or malformed.
+// Reads the engine's events and endpoint lists from messages of the wire protocol. Each function
+// throws settings_json::ValueError if a value is missing or malformed.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace silverreach::benchlink {
 
-// Classes and plans go by name on the wire and by index in events.
+// Maps the names of classes and plans in wire messages to their indexes in events.
 class SettingsIndex {
   public:
     explicit SettingsIndex(const Settings& settings);
@@ -31,7 +31,7 @@
 HealthCheckEnded read_health_check_ended(const WireValues& values);
 ClientDisconnected read_client_disconnected(const WireValues& values);
 PeerMessageReceived read_peer_message(const WireValues& values);
-// Nothing where the token is not one of this program.
+// Returns nullopt if the token is not a decimal number, as the tokens of the engine are.
 std::optional<TimerFired> read_timer_fired(const WireValues& values);
 
 }  // namespace silverreach::benchlink
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -1,5 +1,6 @@
-// Adapter between the simulator and the decision engine: reads the wire from standard input and
-// writes replies to standard output. Exit code 2 after a malformed line.
+// Adapter between the simulator and the decision engine: reads messages of the wire protocol from
+// standard input and writes replies to standard output. Exits with 2 after an error, such as a
+// malformed line.
 #include <cstdio>
 #include <exception>
 #include <iostream>
--- a/src/benchlink/wire_message.h
+++ b/src/benchlink/wire_message.h
@@ -1,4 +1,4 @@
-// One incoming line of the wire: a JSON array of the message's name and its values by position.
+// One incoming line of the wire protocol: a JSON array of the message's name and its values.
 #pragma once
 
 #include <simdjson.h>
@@ -14,14 +14,15 @@
 
 namespace silverreach::benchlink {
 
-// Values by position. Each reader throws settings_json::ValueError, with the field's name, where
-// the value is missing or of another kind. Texts are valid until the parser's next line.
+// The values of a message by position. Each typed reader throws settings_json::ValueError with the
+// name of the field if the value is missing or has another type. Strings are valid until the parser
+// parses the next line.
 class WireValues {
   public:
     static constexpr std::size_t max_count = 20;
 
-    void append(simdjson::dom::element value);  // dropped beyond max_count
-    // False where the value is missing or null.
+    void append(simdjson::dom::element value);  // ignores values beyond max_count
+    // Returns false if the value is missing or null.
     bool has(const WireField& field) const;
 
     std::string_view text(const WireField& field) const;
@@ -45,7 +46,7 @@
     WireValues values;
 };
 
-// Throws settings_json::ValueError where the line is no JSON array that begins with a name. May
+// Throws settings_json::ValueError if the line is not a JSON array that begins with a string. May
 // enlarge the capacity of `line`.
 WireMessage parse_wire_message(simdjson::dom::parser& parser, std::string& line);
 
--- a/src/benchlink/wire_names.h
+++ b/src/benchlink/wire_names.h
@@ -1,5 +1,5 @@
-// The names that the simulator's wire uses, mapped to the terms of the code. A message is a JSON
-// array of its name and of values by position; positions count from 0 after the name.
+// Maps the names of the simulator's wire protocol to the terms of the code. A message is a JSON
+// array of its name and its values; the positions of the values are numbered from 0.
 #pragma once
 
 #include <array>
@@ -17,7 +17,7 @@
     std::string_view name;  // for error messages
 };
 
-// Incoming messages outside of the engine's events.
+// Incoming messages that are not events of the engine.
 namespace batch_begin {
 inline constexpr std::string_view message = "Turn";
 inline constexpr WireField clock{0, "clock"};
@@ -39,7 +39,7 @@
 inline constexpr WireField entries{1, "records"};
 }  // namespace endpoint_list
 
-// First value of every message about one instance.
+// First value of every message that concerns one instance.
 inline constexpr WireField instance_number{0, "gatewayId"};
 
 // One entry of an endpoint list.
@@ -54,7 +54,7 @@
 inline constexpr WireField started_at{6, "bootTimeUs"};
 }  // namespace endpoint_entry
 
-// Incoming messages that become events.
+// Incoming messages that are events of the engine.
 namespace endpoints_changed {
 inline constexpr std::string_view message = "Sync";
 inline constexpr WireField kind{1, "kind"};
@@ -141,7 +141,7 @@
      {"L", EndpointStatus::draining},
      {"D", EndpointStatus::removed}}};
 
-// Nothing where the table lacks the name.
+// Returns nullopt if the table does not contain the name.
 template <class T, std::size_t size>
 constexpr std::optional<T> find_wire_value(const WireValueTable<T, size>& table,
                                            std::string_view name) {
--- a/src/settings_json/json_reader.cpp
+++ b/src/settings_json/json_reader.cpp
@@ -4,7 +4,7 @@
 
 namespace silverreach::settings_json {
 namespace {
-// Below 2^62, so that the conversion to std::int64_t is exact.
+// Below 2^62, so that the conversion from double to std::int64_t is exact.
 constexpr double max_integer = 4e18;
 
 template <class T>
--- a/src/settings_json/settings_json.cpp
+++ b/src/settings_json/settings_json.cpp
@@ -5,7 +5,7 @@
 namespace silverreach::settings_json {
 namespace {
 
-// An optional key of the wire and the member that it sets.
+// An optional JSON key and the member that it sets.
 template <class Struct, class Member>
 struct Field {
     std::string_view key;
--- a/src/settings_json/settings_json.h
+++ b/src/settings_json/settings_json.h
@@ -1,6 +1,6 @@
-// Reads the settings of an instance from JSON: the simulator's first message and the node's
-// configuration file hold the same object. The names of its keys are given by the protocol; they
-// are mapped to the fields of Settings here and nowhere else.
+// Reads the settings of an instance from JSON. The simulator's message that starts an instance and
+// the node's configuration file contain the same object. The protocol defines the names of its
+// keys; only this reader maps them to the fields of Settings.
 #pragma once
 
 #include "settings_json/json_reader.h"
@@ -8,7 +8,7 @@
 
 namespace silverreach::settings_json {
 
-// Throws ValueError. Whether an engine can work with the settings is for silverreach::validate.
+// Throws ValueError. Does not check the settings as silverreach::validate() does.
 Settings read_settings(object source);
 
 }  // namespace silverreach::settings_json
--- a/tests/benchlink/bench_link_test.cpp
+++ b/tests/benchlink/bench_link_test.cpp
@@ -13,7 +13,7 @@
     R"("promiseUs":800000,"value":1}],"ceilings":{"maxAttempts":2},"guarantees":{"startCapacity":0.2},"tickUs":4000,)"
     R"("tiersOfService":[{"name":"basic","rate":1,"mostAtOnce":2}],"unknownKey":[1,{"a":2}]})";
 
-// Passes lines to the link; returns all replies.
+// Passes the lines to the link and returns all replies.
 std::string feed(BenchLink& link, std::initializer_list<std::string> lines) {
     std::string reply;
     for (std::string line : lines)
