--- a/src/benchlink/action_writer.cpp
+++ b/src/benchlink/action_writer.cpp
@@ -9,15 +9,15 @@
 
 namespace silverreach::benchlink {
 namespace {
-constexpr std::size_t max_digits = 20;  // of std::uint64_t
+constexpr std::size_t max_decimal_digits = 20;  // of std::uint64_t
 
-void append_digits(std::string& out, std::uint64_t value) {
-    std::array<char, max_digits> digits;
-    char* const begin = digits.data();
-    out.append(begin, std::to_chars(begin, begin + digits.size(), value).ptr);
+void append_decimal(std::string& out, std::uint64_t value) {
+    std::array<char, max_decimal_digits> digits;
+    char* const first = digits.data();
+    out.append(first, std::to_chars(first, first + digits.size(), value).ptr);
 }
 
-struct WireNameOf {
+struct MessageNameVisitor {
     std::string_view operator()(const SendAttempt&) const { return wire_action::send_attempt; }
     std::string_view operator()(const RejectRequest&) const { return wire_action::reject_request; }
     std::string_view operator()(const FailRequest&) const { return wire_action::fail_request; }
@@ -32,9 +32,9 @@
 };
 }  // namespace
 
-void ActionWriter::write(std::int64_t instance, const Action& action) {
-    lines_.append("[\"").append(std::visit(WireNameOf{}, action)).append("\"");
-    append_number(static_cast<std::uint64_t>(instance));
+void ActionWriter::write(std::int64_t instance_number, const Action& action) {
+    lines_.append("[\"").append(std::visit(MessageNameVisitor{}, action)).append("\"");
+    append_number(static_cast<std::uint64_t>(instance_number));
     std::visit([this](const auto& typed_action) { write_values(typed_action); }, action);
     lines_.append("]\n");
 }
@@ -71,7 +71,7 @@
 void ActionWriter::write_values(const SetTimer& action) {
     append_number(static_cast<std::uint64_t>(action.delay.count()));
     lines_.append(",\"");
-    append_digits(lines_, action.token);
+    append_decimal(lines_, action.token);
     lines_.push_back('"');
 }
 
@@ -87,7 +87,7 @@
 
 void ActionWriter::append_number(std::uint64_t value) {
     lines_.push_back(',');
-    append_digits(lines_, value);
+    append_decimal(lines_, value);
 }
 
 void ActionWriter::append_text(std::string_view text) {
--- a/src/benchlink/action_writer.h
+++ b/src/benchlink/action_writer.h
@@ -11,8 +11,8 @@
 
 class ActionWriter {
   public:
-    // `instance`: number of the gateway instance whose engine yielded the action.
-    void write(std::int64_t instance, const Action& action);
+    // `instance_number`: number of the gateway instance whose engine yielded the action.
+    void write(std::int64_t instance_number, const Action& action);
     // Appends to `out` the lines written since the last call and the line that ends a reply.
     void finish_reply(std::string& out);
 
--- a/src/benchlink/base64.cpp
+++ b/src/benchlink/base64.cpp
@@ -25,16 +25,17 @@
 void append_base64(std::string& out, std::string_view bytes) {
     for (std::size_t start = 0; start < bytes.size(); start += bytes_per_group) {
         std::uint32_t group = 0;
-        for (std::size_t at = start; at < start + bytes_per_group; ++at)
-            group = group << 8 | (at < bytes.size() ? static_cast<unsigned char>(bytes[at]) : 0U);
+        for (std::size_t index = start; index < start + bytes_per_group; ++index)
+            group =
+                group << 8 | (index < bytes.size() ? static_cast<unsigned char>(bytes[index]) : 0U);
         for (std::size_t digit = 0; digit < digits_per_group; ++digit) {
-            const bool padding = start + digit > bytes.size();
-            out.push_back(padding ? '=' : alphabet[group >> (18 - 6 * digit) & 63]);
+            const bool is_padding = start + digit > bytes.size();
+            out.push_back(is_padding ? '=' : alphabet[group >> (18 - 6 * digit) & 63]);
         }
     }
 }
 
-std::optional<std::string> from_base64(std::string_view text) {
+std::optional<std::string> decode_base64(std::string_view text) {
     if (text.size() % digits_per_group != 0) return std::nullopt;
     std::size_t padding = 0;
     while (padding < 2 && padding < text.size() && text[text.size() - 1 - padding] == '=')
@@ -42,9 +43,10 @@
     std::string out;
     for (std::size_t start = 0; start < text.size(); start += digits_per_group) {
         std::uint32_t group = 0;
-        for (std::size_t at = start; at < start + digits_per_group; ++at) {
-            const bool is_padding = at >= text.size() - padding;
-            const int value = is_padding ? 0 : digit_values[static_cast<unsigned char>(text[at])];
+        for (std::size_t index = start; index < start + digits_per_group; ++index) {
+            const bool is_padding = index >= text.size() - padding;
+            const int value =
+                is_padding ? 0 : digit_values[static_cast<unsigned char>(text[index])];
             if (value < 0) return std::nullopt;
             group = group << 6 | static_cast<std::uint32_t>(value);
         }
--- a/src/benchlink/base64.h
+++ b/src/benchlink/base64.h
@@ -9,6 +9,6 @@
 
 void append_base64(std::string& out, std::string_view bytes);
 // Returns nullopt if the text is not base64 with padding.
-std::optional<std::string> from_base64(std::string_view text);
+std::optional<std::string> decode_base64(std::string_view text);
 
 }  // namespace silverreach::benchlink
--- a/src/benchlink/bench_link.cpp
+++ b/src/benchlink/bench_link.cpp
@@ -24,7 +24,7 @@
 
 struct Instance {
     DecisionEngine engine;
-    SettingsIndex index;
+    SettingsNameIndex name_index;
 };
 }  // namespace
 
@@ -40,19 +40,24 @@
     void handle_message(const WireMessage& message);
     void start_instance(const WireValues& values);
     void store_endpoint_list(const WireValues& values);
-    void on_endpoints_changed(std::int64_t number, const WireValues& values);
-
-    void stop_instance(std::int64_t number, Instance& instance, const WireValues& values);
-    void on_request_arrived(std::int64_t number, Instance& instance, const WireValues& values);
-    void on_attempt_ended(std::int64_t number, Instance& instance, const WireValues& values);
-    void on_health_check_ended(std::int64_t number, Instance& instance, const WireValues& values);
-    void on_client_disconnected(std::int64_t number, Instance& instance, const WireValues& values);
-    void on_peer_message(std::int64_t number, Instance& instance, const WireValues& values);
-    void on_timer(std::int64_t number, Instance& instance, const WireValues& values);
+    void on_endpoints_changed(std::int64_t instance_number, const WireValues& values);
+
+    void stop_instance(std::int64_t instance_number, Instance& instance, const WireValues& values);
+    void on_request_arrived(std::int64_t instance_number, Instance& instance,
+                            const WireValues& values);
+    void on_attempt_ended(std::int64_t instance_number, Instance& instance,
+                          const WireValues& values);
+    void on_health_check_ended(std::int64_t instance_number, Instance& instance,
+                               const WireValues& values);
+    void on_client_disconnected(std::int64_t instance_number, Instance& instance,
+                                const WireValues& values);
+    void on_peer_message(std::int64_t instance_number, Instance& instance,
+                         const WireValues& values);
+    void on_timer(std::int64_t instance_number, Instance& instance, const WireValues& values);
 
     static const std::unordered_map<std::string_view, EventHandler>& event_handlers();
-    Instance* find_instance(std::int64_t number);
-    void handle_event(std::int64_t number, Instance& instance, const Event& event);
+    Instance* find_instance(std::int64_t instance_number);
+    void handle_event(std::int64_t instance_number, Instance& instance, const Event& event);
 
     simdjson::dom::parser parser_;
     std::uint64_t line_number_ = 0;
@@ -110,22 +115,22 @@
     const WireValues& values = message.values;
     if (message.name == start_instance::message) return start_instance(values);
     if (message.name == endpoint_list::message) return store_endpoint_list(values);
-    const bool endpoints_message = message.name == endpoints_changed::message;
+    const bool is_endpoints_changed = message.name == endpoints_changed::message;
     const auto handler = event_handlers().find(message.name);
-    if (!endpoints_message && handler == event_handlers().end()) return;
-    const std::int64_t number = values.integer(instance_number);
-    if (endpoints_message) return on_endpoints_changed(number, values);
-    if (Instance* instance = find_instance(number))
-        (this->*handler->second)(number, *instance, values);
+    if (!is_endpoints_changed && handler == event_handlers().end()) return;
+    const std::int64_t instance_number = values.integer(instance_number_field);
+    if (is_endpoints_changed) return on_endpoints_changed(instance_number, values);
+    if (Instance* instance = find_instance(instance_number))
+        (this->*handler->second)(instance_number, *instance, values);
 }
 
 void BenchLink::Impl::start_instance(const WireValues& values) {
-    const std::int64_t number = values.integer(instance_number);
-    if (number < 0) throw ValueError(instance_number.name, "a number not below 0");
+    const std::int64_t instance_number = values.integer(instance_number_field);
+    if (instance_number < 0) throw ValueError(instance_number_field.name, "a number not below 0");
     const Settings settings = settings_json::read_settings(values.object(start_instance::settings));
     const std::uint64_t seed = values.unsigned_integer(start_instance::seed);
-    instances_.insert_or_assign(
-        number, Instance{DecisionEngine(settings, seed, now_), SettingsIndex(settings)});
+    instances_.insert_or_assign(instance_number, Instance{DecisionEngine(settings, seed, now_),
+                                                          SettingsNameIndex(settings)});
 }
 
 void BenchLink::Impl::store_endpoint_list(const WireValues& values) {
@@ -135,7 +140,7 @@
     endpoint_lists_[static_cast<std::size_t>(slot)] = read_endpoint_list(values);
 }
 
-void BenchLink::Impl::on_endpoints_changed(std::int64_t number, const WireValues& values) {
+void BenchLink::Impl::on_endpoints_changed(std::int64_t instance_number, const WireValues& values) {
     namespace wire = endpoints_changed;
     const std::string_view kind = values.text(wire::kind);
     if (kind == wire::kind_unavailable) return;
@@ -143,45 +148,47 @@
     if (slot < 0 || slot >= static_cast<std::int64_t>(endpoint_lists_.size()) ||
         !endpoint_lists_[static_cast<std::size_t>(slot)])
         throw ValueError(wire::slot.name, "the number of a list that a Directory declared");
-    Instance* instance = find_instance(number);
+    Instance* instance = find_instance(instance_number);
     if (!instance) return;
     const bool complete = kind != wire::kind_update;
-    handle_event(number, *instance,
+    handle_event(instance_number, *instance,
                  EndpointsChanged{complete, *endpoint_lists_[static_cast<std::size_t>(slot)]});
 }
 
-void BenchLink::Impl::stop_instance(std::int64_t number, Instance& /*instance*/,
+void BenchLink::Impl::stop_instance(std::int64_t instance_number, Instance& /*instance*/,
                                     const WireValues& /*values*/) {
-    instances_.erase(number);
+    instances_.erase(instance_number);
 }
 
-void BenchLink::Impl::on_request_arrived(std::int64_t number, Instance& instance,
+void BenchLink::Impl::on_request_arrived(std::int64_t instance_number, Instance& instance,
                                          const WireValues& values) {
-    handle_event(number, instance, read_request_arrived(values, instance.index));
+    handle_event(instance_number, instance, read_request_arrived(values, instance.name_index));
 }
 
-void BenchLink::Impl::on_attempt_ended(std::int64_t number, Instance& instance,
+void BenchLink::Impl::on_attempt_ended(std::int64_t instance_number, Instance& instance,
                                        const WireValues& values) {
-    handle_event(number, instance, read_attempt_ended(values));
+    handle_event(instance_number, instance, read_attempt_ended(values));
 }
 
-void BenchLink::Impl::on_health_check_ended(std::int64_t number, Instance& instance,
+void BenchLink::Impl::on_health_check_ended(std::int64_t instance_number, Instance& instance,
                                             const WireValues& values) {
-    handle_event(number, instance, read_health_check_ended(values));
+    handle_event(instance_number, instance, read_health_check_ended(values));
 }
 
-void BenchLink::Impl::on_client_disconnected(std::int64_t number, Instance& instance,
+void BenchLink::Impl::on_client_disconnected(std::int64_t instance_number, Instance& instance,
                                              const WireValues& values) {
-    handle_event(number, instance, read_client_disconnected(values));
+    handle_event(instance_number, instance, read_client_disconnected(values));
 }
 
-void BenchLink::Impl::on_peer_message(std::int64_t number, Instance& instance,
+void BenchLink::Impl::on_peer_message(std::int64_t instance_number, Instance& instance,
                                       const WireValues& values) {
-    handle_event(number, instance, read_peer_message(values));
+    handle_event(instance_number, instance, read_peer_message(values));
 }
 
-void BenchLink::Impl::on_timer(std::int64_t number, Instance& instance, const WireValues& values) {
-    if (const auto fired = read_timer_fired(values)) handle_event(number, instance, *fired);
+void BenchLink::Impl::on_timer(std::int64_t instance_number, Instance& instance,
+                               const WireValues& values) {
+    if (const auto event = read_timer_fired(values))
+        handle_event(instance_number, instance, *event);
 }
 
 const std::unordered_map<std::string_view, BenchLink::Impl::EventHandler>&
@@ -197,16 +204,17 @@
     return handlers;
 }
 
-Instance* BenchLink::Impl::find_instance(std::int64_t number) {
-    const auto found = instances_.find(number);
+Instance* BenchLink::Impl::find_instance(std::int64_t instance_number) {
+    const auto found = instances_.find(instance_number);
     return found == instances_.end() ? nullptr : &found->second;
 }
 
-void BenchLink::Impl::handle_event(std::int64_t number, Instance& instance, const Event& event) {
+void BenchLink::Impl::handle_event(std::int64_t instance_number, Instance& instance,
+                                   const Event& event) {
     actions_.clear();
     instance.engine.handle(now_, event, actions_);
     for (const Action& action : actions_)
-        writer_.write(number, action);
+        writer_.write(instance_number, action);
 }
 
 }  // namespace silverreach::benchlink
--- a/src/benchlink/event_reader.cpp
+++ b/src/benchlink/event_reader.cpp
@@ -58,15 +58,16 @@
 }
 }  // namespace
 
-SettingsIndex::SettingsIndex(const Settings& settings)
-    : classes_(index_by_name(settings.classes)), plans_(index_by_name(settings.plans)) {}
+SettingsNameIndex::SettingsNameIndex(const Settings& settings)
+    : class_indexes_(index_by_name(settings.classes)),
+      plan_indexes_(index_by_name(settings.plans)) {}
 
-std::optional<int> SettingsIndex::find_class(std::string_view name) const {
-    return find_index(classes_, name);
+std::optional<int> SettingsNameIndex::find_class(std::string_view name) const {
+    return find_index(class_indexes_, name);
 }
 
-std::optional<int> SettingsIndex::find_plan(std::string_view name) const {
-    return find_index(plans_, name);
+std::optional<int> SettingsNameIndex::find_plan(std::string_view name) const {
+    return find_index(plan_indexes_, name);
 }
 
 std::vector<EndpointEntry> read_endpoint_list(const WireValues& values) {
@@ -80,48 +81,47 @@
     return entries;
 }
 
-RequestArrived read_request_arrived(const WireValues& values, const SettingsIndex& index) {
+RequestArrived read_request_arrived(const WireValues& values, const SettingsNameIndex& index) {
     namespace wire = request_arrived;
-    RequestArrived request;
-    request.id = values.unsigned_integer(wire::request_id);
+    RequestArrived event;
+    event.id = values.unsigned_integer(wire::request_id);
     if (values.has(wire::subset_size))
-        request.subset_size = static_cast<int>(values.integer(wire::subset_size));
+        event.subset_size = static_cast<int>(values.integer(wire::subset_size));
     if (values.has(wire::subset_start))
-        request.subset_start = static_cast<int>(values.integer(wire::subset_start));
-    request.time_remaining = values.micros(wire::time_remaining);
-    if (values.has(wire::customer)) request.customer = values.text(wire::customer);
-    request.plan = -1;
-    if (values.has(wire::plan))
-        request.plan = index.find_plan(values.text(wire::plan)).value_or(-1);
+        event.subset_start = static_cast<int>(values.integer(wire::subset_start));
+    event.time_remaining = values.micros(wire::time_remaining);
+    if (values.has(wire::customer)) event.customer = values.text(wire::customer);
+    event.plan = -1;
+    if (values.has(wire::plan)) event.plan = index.find_plan(values.text(wire::plan)).value_or(-1);
     const auto request_class = index.find_class(values.text(wire::request_class));
     if (!request_class) throw ValueError(wire::request_class.name, "a class of the settings");
-    request.request_class = *request_class;
-    if (values.has(wire::units)) request.units = values.number(wire::units);
-    return request;
+    event.request_class = *request_class;
+    if (values.has(wire::units)) event.units = values.number(wire::units);
+    return event;
 }
 
 AttemptEnded read_attempt_ended(const WireValues& values) {
     namespace wire = attempt_ended;
-    AttemptEnded ended;
-    ended.id = values.unsigned_integer(wire::request_id);
-    ended.attempt = static_cast<int>(values.integer(wire::attempt));
-    ended.endpoint = values.text(wire::endpoint);
-    ended.outcome = read_outcome(values, wire::outcome);
-    if (values.has(wire::duration)) ended.duration = values.micros(wire::duration);
-    ended.request_completed = values.boolean(wire::request_completed);
-    if (values.has(wire::actual_units)) ended.actual_units = values.number(wire::actual_units);
-    ended.load_report = read_load_report(values, wire::load_report);
-    return ended;
+    AttemptEnded event;
+    event.id = values.unsigned_integer(wire::request_id);
+    event.attempt = static_cast<int>(values.integer(wire::attempt));
+    event.endpoint = values.text(wire::endpoint);
+    event.outcome = read_outcome(values, wire::outcome);
+    if (values.has(wire::duration)) event.duration = values.micros(wire::duration);
+    event.request_completed = values.boolean(wire::request_completed);
+    if (values.has(wire::actual_units)) event.actual_units = values.number(wire::actual_units);
+    event.load_report = read_load_report(values, wire::load_report);
+    return event;
 }
 
 HealthCheckEnded read_health_check_ended(const WireValues& values) {
     namespace wire = health_check_ended;
-    HealthCheckEnded ended;
-    ended.endpoint = values.text(wire::endpoint);
-    ended.outcome = read_outcome(values, wire::outcome);
-    if (values.has(wire::duration)) ended.duration = values.micros(wire::duration);
-    ended.load_report = read_load_report(values, wire::load_report);
-    return ended;
+    HealthCheckEnded event;
+    event.endpoint = values.text(wire::endpoint);
+    event.outcome = read_outcome(values, wire::outcome);
+    if (values.has(wire::duration)) event.duration = values.micros(wire::duration);
+    event.load_report = read_load_report(values, wire::load_report);
+    return event;
 }
 
 ClientDisconnected read_client_disconnected(const WireValues& values) {
@@ -130,7 +130,7 @@
 
 PeerMessageReceived read_peer_message(const WireValues& values) {
     namespace wire = peer_message_received;
-    const auto bytes = from_base64(values.text(wire::bytes));
+    const auto bytes = decode_base64(values.text(wire::bytes));
     if (!bytes) throw ValueError(wire::bytes.name, "padded base64");
     return {static_cast<int>(values.integer(wire::from)), *bytes};
 }
@@ -138,10 +138,10 @@
 std::optional<TimerFired> read_timer_fired(const WireValues& values) {
     const std::string_view text = values.text(timer_fired::token);
     const char* const end = text.data() + text.size();
-    TimerFired fired;
-    const auto parsed = std::from_chars(text.data(), end, fired.token);
+    TimerFired event;
+    const auto parsed = std::from_chars(text.data(), end, event.token);
     if (parsed.ec != std::errc() || parsed.ptr != end) return std::nullopt;
-    return fired;
+    return event;
 }
 
 }  // namespace silverreach::benchlink
--- a/src/benchlink/event_reader.h
+++ b/src/benchlink/event_reader.h
@@ -14,19 +14,19 @@
 namespace silverreach::benchlink {
 
 // Maps the names of classes and plans in wire messages to their indexes in events.
-class SettingsIndex {
+class SettingsNameIndex {
   public:
-    explicit SettingsIndex(const Settings& settings);
+    explicit SettingsNameIndex(const Settings& settings);
     std::optional<int> find_class(std::string_view name) const;
     std::optional<int> find_plan(std::string_view name) const;
 
   private:
-    std::unordered_map<std::string, int> classes_;
-    std::unordered_map<std::string, int> plans_;
+    std::unordered_map<std::string, int> class_indexes_;
+    std::unordered_map<std::string, int> plan_indexes_;
 };
 
 std::vector<EndpointEntry> read_endpoint_list(const WireValues& values);
-RequestArrived read_request_arrived(const WireValues& values, const SettingsIndex& index);
+RequestArrived read_request_arrived(const WireValues& values, const SettingsNameIndex& index);
 AttemptEnded read_attempt_ended(const WireValues& values);
 HealthCheckEnded read_health_check_ended(const WireValues& values);
 ClientDisconnected read_client_disconnected(const WireValues& values);
--- a/src/benchlink/wire_message.cpp
+++ b/src/benchlink/wire_message.cpp
@@ -8,36 +8,36 @@
 using simdjson::dom::element;
 
 void WireValues::append(element value) {
-    if (count_ < max_count) values_[count_++] = value;
+    if (count_ < max_value_count) values_[count_++] = value;
 }
 
 bool WireValues::has(const WireField& field) const {
     return field.position < count_ && !values_[field.position].is_null();
 }
 
-element WireValues::required(const WireField& field) const {
+element WireValues::required_value(const WireField& field) const {
     if (field.position >= count_) throw ValueError(field.name, "a value, the line is too short");
     return values_[field.position];
 }
 
 std::string_view WireValues::text(const WireField& field) const {
-    return settings_json::as_text(required(field), field.name);
+    return settings_json::as_text(required_value(field), field.name);
 }
 
 std::int64_t WireValues::integer(const WireField& field) const {
-    return settings_json::as_integer(required(field), field.name);
+    return settings_json::as_integer(required_value(field), field.name);
 }
 
 std::uint64_t WireValues::unsigned_integer(const WireField& field) const {
-    return settings_json::as_unsigned(required(field), field.name);
+    return settings_json::as_unsigned(required_value(field), field.name);
 }
 
 double WireValues::number(const WireField& field) const {
-    return settings_json::as_number(required(field), field.name);
+    return settings_json::as_number(required_value(field), field.name);
 }
 
 bool WireValues::boolean(const WireField& field) const {
-    return settings_json::as_bool(required(field), field.name);
+    return settings_json::as_bool(required_value(field), field.name);
 }
 
 Micros WireValues::micros(const WireField& field) const {
@@ -45,11 +45,11 @@
 }
 
 simdjson::dom::array WireValues::array(const WireField& field) const {
-    return settings_json::as_array(required(field), field.name);
+    return settings_json::as_array(required_value(field), field.name);
 }
 
 simdjson::dom::object WireValues::object(const WireField& field) const {
-    return settings_json::as_object(required(field), field.name);
+    return settings_json::as_object(required_value(field), field.name);
 }
 
 WireMessage parse_wire_message(simdjson::dom::parser& parser, std::string& line) {
--- a/src/benchlink/wire_message.h
+++ b/src/benchlink/wire_message.h
@@ -19,9 +19,9 @@
 // parses the next line.
 class WireValues {
   public:
-    static constexpr std::size_t max_count = 20;
+    static constexpr std::size_t max_value_count = 20;
 
-    void append(simdjson::dom::element value);  // ignores values beyond max_count
+    void append(simdjson::dom::element value);  // ignores values beyond max_value_count
     // Returns false if the value is missing or null.
     bool has(const WireField& field) const;
 
@@ -35,9 +35,9 @@
     simdjson::dom::object object(const WireField& field) const;
 
   private:
-    simdjson::dom::element required(const WireField& field) const;
+    simdjson::dom::element required_value(const WireField& field) const;
 
-    std::array<simdjson::dom::element, max_count> values_{};
+    std::array<simdjson::dom::element, max_value_count> values_{};
     std::size_t count_ = 0;
 };
 
--- a/src/benchlink/wire_names.h
+++ b/src/benchlink/wire_names.h
@@ -40,7 +40,7 @@
 }  // namespace endpoint_list
 
 // First value of every message that concerns one instance.
-inline constexpr WireField instance_number{0, "gatewayId"};
+inline constexpr WireField instance_number_field{0, "gatewayId"};
 
 // One entry of an endpoint list.
 namespace endpoint_entry {
--- a/src/settings_json/settings_json.cpp
+++ b/src/settings_json/settings_json.cpp
@@ -70,7 +70,7 @@
     return plan;
 }
 
-void read_place_in_fleet(object source, Settings& settings) {
+void read_fleet_position(object source, Settings& settings) {
     settings.rank = static_cast<int>(as_integer(required(source, "rank"), "rank"));
     settings.instance_count =
         static_cast<int>(as_integer(required(source, "instances"), "instances"));
@@ -117,7 +117,7 @@
 
 Settings read_settings(object source) {
     Settings settings;
-    read_place_in_fleet(source, settings);
+    read_fleet_position(source, settings);
     read_classes_and_plans(source, settings);
     read_permissions(source, settings);
     read_endpoint_behaviour(source, settings);
--- a/tests/benchlink/base64_test.cpp
+++ b/tests/benchlink/base64_test.cpp
@@ -11,11 +11,11 @@
         std::string encoded;
         append_base64(encoded, text);
         EXPECT_EQ(encoded.size() % 4, 0u);
-        EXPECT_EQ(from_base64(encoded), text);
+        EXPECT_EQ(decode_base64(encoded), text);
     }
     std::string encoded;
     append_base64(encoded, "hi 7");
     EXPECT_EQ(encoded, "aGkgNw==");
     for (const std::string malformed : {"a", "ab=c", "a===", "a-b=", "===="})
-        EXPECT_FALSE(from_base64(malformed)) << malformed;
+        EXPECT_FALSE(decode_base64(malformed)) << malformed;
 }
