--- a/src/benchlink/bench_link.cpp
+++ b/src/benchlink/bench_link.cpp
@@ -94,7 +94,8 @@
         begin_batch(message.values);
         return false;
     }
-    if (!in_batch_) throw ValueError("message outside a batch", "a Turn line first");
+    if (!in_batch_)
+        throw ValueError("message outside a batch", "a Turn line at the start of the batch");
     if (message.name == batch_end::message) {
         in_batch_ = false;
         writer_.finish_reply(out);
@@ -106,7 +107,8 @@
 
 void BenchLink::Impl::begin_batch(const WireValues& values) {
     const Micros clock = values.micros(batch_begin::clock);
-    if (clock < now_) throw ValueError(batch_begin::clock.name, "a time that does not go back");
+    if (clock < now_)
+        throw ValueError(batch_begin::clock.name, "a time that is not before the previous batch");
     now_ = clock;
     in_batch_ = true;
 }
@@ -126,7 +128,7 @@
 
 void BenchLink::Impl::start_instance(const WireValues& values) {
     const std::int64_t instance_number = values.integer(instance_number_field);
-    if (instance_number < 0) throw ValueError(instance_number_field.name, "a number not below 0");
+    if (instance_number < 0) throw ValueError(instance_number_field.name, "a non-negative number");
     const Settings settings = settings_json::read_settings(values.object(start_instance::settings));
     const std::uint64_t seed = values.unsigned_integer(start_instance::seed);
     instances_.insert_or_assign(instance_number, Instance{DecisionEngine(settings, seed, now_),
@@ -147,7 +149,7 @@
     const std::int64_t slot = values.integer(wire::slot);
     if (slot < 0 || slot >= static_cast<std::int64_t>(endpoint_lists_.size()) ||
         !endpoint_lists_[static_cast<std::size_t>(slot)])
-        throw ValueError(wire::slot.name, "the number of a list that a Directory declared");
+        throw ValueError(wire::slot.name, "the number of a list that a Directory message defined");
     Instance* instance = find_instance(instance_number);
     if (!instance) return;
     const bool complete = kind != wire::kind_update;
--- a/src/benchlink/event_reader.cpp
+++ b/src/benchlink/event_reader.cpp
@@ -94,7 +94,8 @@
     event.plan = -1;
     if (values.has(wire::plan)) event.plan = index.find_plan(values.text(wire::plan)).value_or(-1);
     const auto request_class = index.find_class(values.text(wire::request_class));
-    if (!request_class) throw ValueError(wire::request_class.name, "a class of the settings");
+    if (!request_class)
+        throw ValueError(wire::request_class.name, "the name of a class in the settings");
     event.request_class = *request_class;
     if (values.has(wire::units)) event.units = values.number(wire::units);
     return event;
@@ -131,7 +132,7 @@
 PeerMessageReceived read_peer_message(const WireValues& values) {
     namespace wire = peer_message_received;
     const auto bytes = decode_base64(values.text(wire::bytes));
-    if (!bytes) throw ValueError(wire::bytes.name, "padded base64");
+    if (!bytes) throw ValueError(wire::bytes.name, "base64 with padding");
     return {static_cast<int>(values.integer(wire::from)), *bytes};
 }
 
--- a/src/benchlink/wire_message.cpp
+++ b/src/benchlink/wire_message.cpp
@@ -16,7 +16,8 @@
 }
 
 element WireValues::required_value(const WireField& field) const {
-    if (field.position >= count_) throw ValueError(field.name, "a value, the line is too short");
+    if (field.position >= count_)
+        throw ValueError(field.name, "a value, but the line is too short");
     return values_[field.position];
 }
 
--- a/src/settings_json/json_reader.cpp
+++ b/src/settings_json/json_reader.cpp
@@ -34,7 +34,7 @@
 }
 
 std::uint64_t as_unsigned(element value, std::string_view name) {
-    return as<std::uint64_t>(value, name, "a whole number not below 0");
+    return as<std::uint64_t>(value, name, "a non-negative integer");
 }
 
 std::string_view as_text(element value, std::string_view name) {
@@ -42,7 +42,7 @@
 }
 
 bool as_bool(element value, std::string_view name) {
-    return as<bool>(value, name, "true or false");
+    return as<bool>(value, name, "a boolean");
 }
 
 array as_array(element value, std::string_view name) {
@@ -56,7 +56,7 @@
 element required(object parent, std::string_view key) {
     element value;
     if (parent[key].get(value) != simdjson::SUCCESS)
-        throw ValueError("setting '" + std::string(key) + "' is missing", "a value");
+        throw ValueError("key '" + std::string(key) + "' is missing", "a value");
     return value;
 }
 
--- a/tests/benchlink/bench_link_test.cpp
+++ b/tests/benchlink/bench_link_test.cpp
@@ -64,10 +64,10 @@
               std::string::npos);
     EXPECT_NE(error_text({R"(["Turn","x"])"}).find("clock: expected a number"), std::string::npos);
     EXPECT_NE(error_text({R"(["Turn",5])", start_instance, R"(["Sync",0,"replace",1,3])"})
-                  .find("a list that a Directory declared"),
+                  .find("a list that a Directory message defined"),
               std::string::npos);
     EXPECT_NE(error_text({R"(["Turn",5])", R"(["Attach",0,1,{"rank":0}])"})
-                  .find("'instances' is missing"),
+                  .find("key 'instances' is missing"),
               std::string::npos);
     EXPECT_NE(error_text({R"(["Turn",5])", start_instance, R"(["NewRequest",0,7])"}).find("line 3"),
               std::string::npos);
@@ -75,7 +75,9 @@
         error_text({R"(["Turn",5])", start_instance, R"(["Returned",0,7,0,"h:1","ODD",1,true])"})
             .find("status: expected"),
         std::string::npos);
-    EXPECT_NE(error_text({R"(["EofBatch"])"}).find("a Turn line first"), std::string::npos);
-    EXPECT_NE(error_text({R"(["Turn",5])", R"(["Turn",4])"}).find("does not go back"),
+    EXPECT_NE(error_text({R"(["EofBatch"])"}).find("a Turn line at the start of the batch"),
+              std::string::npos);
+    EXPECT_NE(error_text({R"(["Turn",5])", R"(["Turn",4])"})
+                  .find("a time that is not before the previous batch"),
               std::string::npos);
 }
