--- a/bench/parts_bench.cpp
+++ b/bench/parts_bench.cpp
@@ -40,7 +40,7 @@
     void cancel_attempt(const core::AttemptKey&) override {}
     bool withdraw_attempt(const core::AttemptKey&) override { return false; }
     void start_health_check(const std::string&) override {}
-    void send_message(int, const std::string&) override {}
+    void send_peer_message(int, const std::string&) override {}
     void finish_request(RequestId, const core::FinalResponse&) override {}
     void abort_response(RequestId) override {}
 };
--- a/scenario_runner/fleet/virtual_fleet.cpp
+++ b/scenario_runner/fleet/virtual_fleet.cpp
@@ -108,7 +108,7 @@
         void cancel_attempt(const core::AttemptKey&) override {}
         bool withdraw_attempt(const core::AttemptKey&) override { return false; }
         void start_health_check(const std::string&) override {}
-        void send_message(int to, const std::string& bytes) override {
+        void send_peer_message(int to, const std::string& bytes) override {
             for (int i = 0; i < sim.day_.instances; ++i)
                 if (i != rank && (to < 0 || to == i)) sim.carry(rank, i, bytes);
         }
--- a/src/benchlink/wire_message.cpp
+++ b/src/benchlink/wire_message.cpp
@@ -15,30 +15,30 @@
     return field.position < count_ && !values_[field.position].is_null();
 }
 
-element WireValues::required_value(const WireField& field) const {
+element WireValues::require_value(const WireField& field) const {
     if (field.position >= count_)
         throw ValueError(field.name, "a value, but the line is too short");
     return values_[field.position];
 }
 
 std::string_view WireValues::text(const WireField& field) const {
-    return settings_json::as_text(required_value(field), field.name);
+    return settings_json::as_text(require_value(field), field.name);
 }
 
 std::int64_t WireValues::integer(const WireField& field) const {
-    return settings_json::as_integer(required_value(field), field.name);
+    return settings_json::as_integer(require_value(field), field.name);
 }
 
 std::uint64_t WireValues::unsigned_integer(const WireField& field) const {
-    return settings_json::as_unsigned(required_value(field), field.name);
+    return settings_json::as_unsigned(require_value(field), field.name);
 }
 
 double WireValues::number(const WireField& field) const {
-    return settings_json::as_number(required_value(field), field.name);
+    return settings_json::as_number(require_value(field), field.name);
 }
 
 bool WireValues::boolean(const WireField& field) const {
-    return settings_json::as_bool(required_value(field), field.name);
+    return settings_json::as_bool(require_value(field), field.name);
 }
 
 Micros WireValues::micros(const WireField& field) const {
@@ -46,11 +46,11 @@
 }
 
 simdjson::dom::array WireValues::array(const WireField& field) const {
-    return settings_json::as_array(required_value(field), field.name);
+    return settings_json::as_array(require_value(field), field.name);
 }
 
 simdjson::dom::object WireValues::object(const WireField& field) const {
-    return settings_json::as_object(required_value(field), field.name);
+    return settings_json::as_object(require_value(field), field.name);
 }
 
 WireMessage parse_wire_message(simdjson::dom::parser& parser, std::string& line) {
--- a/src/benchlink/wire_message.h
+++ b/src/benchlink/wire_message.h
@@ -35,7 +35,7 @@
     simdjson::dom::object object(const WireField& field) const;
 
   private:
-    simdjson::dom::element required_value(const WireField& field) const;
+    simdjson::dom::element require_value(const WireField& field) const;
 
     std::array<simdjson::dom::element, max_value_count> values_{};
     std::size_t count_ = 0;
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -231,7 +231,7 @@
 void Instance::start_health_check(const std::string& host) {
     upstream_->start_health_check(host);
 }
-void Instance::send_message(int rank, const std::string& bytes) {
+void Instance::send_peer_message(int rank, const std::string& bytes) {
     if (peers_) peers_->send(rank, bytes);
 }
 void Instance::finish_request(RequestId id, const core::FinalResponse& answer) {
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -43,7 +43,7 @@
     void cancel_attempt(const core::AttemptKey& key) override;
     bool withdraw_attempt(const core::AttemptKey& key) override;
     void start_health_check(const std::string& host) override;
-    void send_message(int rank, const std::string& bytes) override;
+    void send_peer_message(int rank, const std::string& bytes) override;
     void finish_request(RequestId id, const core::FinalResponse& answer) override;
     void abort_response(RequestId id) override;
     // ---- upstream_http::AttemptCallbacks ----
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -272,7 +272,7 @@
 void Node::start_health_check(const std::string& host) {
     upstream_->start_health_check(host);
 }
-void Node::send_message(int rank, const std::string& bytes) {
+void Node::send_peer_message(int rank, const std::string& bytes) {
     if (peers_) peers_->send(rank, bytes);
 }
 void Node::finish_request(RequestId id, const core::FinalResponse& answer) {
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -44,7 +44,7 @@
     void cancel_attempt(const core::AttemptKey& key) override;
     bool withdraw_attempt(const core::AttemptKey& key) override;
     void start_health_check(const std::string& host) override;
-    void send_message(int rank, const std::string& bytes) override;
+    void send_peer_message(int rank, const std::string& bytes) override;
     void finish_request(RequestId id, const core::FinalResponse& answer) override;
     void abort_response(RequestId id) override;
     void on_attempt_blocked(const core::AttemptKey& key, const std::string& host,
--- a/src/core/environment.h
+++ b/src/core/environment.h
@@ -38,7 +38,7 @@
     // The health check ends with exactly one call of RequestCoordinator::on_health_check_ended.
     virtual void start_health_check(const std::string& endpoint) = 0;
     // `rank`: of the receiving instance; negative: every peer.
-    virtual void send_message(int rank, const std::string& bytes) = 0;
+    virtual void send_peer_message(int rank, const std::string& bytes) = 0;
     // Sends the client the request's final response.
     virtual void finish_request(RequestId id, const FinalResponse& response) = 0;
     // Ends a response that is being streamed to the client and is not complete at the deadline.
--- a/src/core/request_coordinator.cpp
+++ b/src/core/request_coordinator.cpp
@@ -231,7 +231,7 @@
 }
 
 void RequestCoordinator::carry_out(Micros /*now*/, const SendPeerMessage& action) {
-    environment_.send_message(action.to, action.bytes);
+    environment_.send_peer_message(action.to, action.bytes);
 }
 
 void RequestCoordinator::respond(Micros now, RequestId id, const FinalResponse& response) {
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -21,7 +21,7 @@
     return *e;
 }
 std::optional<config::Endpoint> endpoint_at(json::object o, std::string_view key) {
-    if (const auto e = json::optional_key(o, key)) return endpoint(json::as_text(*e, key), key);
+    if (const auto e = json::find_value(o, key)) return endpoint(json::as_text(*e, key), key);
     return std::nullopt;
 }
 
@@ -47,8 +47,7 @@
     NodeConfig c;
     const auto text = [&](const char* name, std::string_view key) -> std::optional<std::string> {
         if (const char* value = variable(name); value && *value) return value;
-        if (const auto e = json::optional_key(root, key))
-            return std::string(json::as_text(*e, key));
+        if (const auto e = json::find_value(root, key)) return std::string(json::as_text(*e, key));
         return std::nullopt;
     };
     c.name = text("NODE_NAME", "name").value_or("node");
@@ -62,25 +61,27 @@
         c.discovery = endpoint(*d, "NODE_DISCOVERY");
     else
         fail("discovery", "an IP address and port, here or in NODE_DISCOVERY");
-    if (const auto e = json::optional_key(root, "seed")) c.seed = seed_of(*e);
-    if (const auto e = json::optional_key(root, "limits"))
+    if (const auto e = json::find_value(root, "seed")) c.seed = seed_of(*e);
+    if (const auto e = json::find_value(root, "limits"))
         read_limits(json::as_object(*e, "limits"), c.limits);
     c.peer_listen = endpoint_at(root, "peer_listen");
     c.peers_all = endpoint_at(root, "peers_all");
-    if (const auto e = json::optional_key(root, "peers"))
+    if (const auto e = json::find_value(root, "peers"))
         for (json::element peer : json::as_array(*e, "peers"))
             c.peers.push_back(endpoint(json::as_text(peer, "peers[]"), "peers[]"));
-    const json::object settings = json::as_object(json::required(root, "settings"), "settings");
+    const json::object settings =
+        json::as_object(json::require_value(root, "settings"), "settings");
     c.settings = json::read_settings(settings);
     validate(c.settings);
     if (!c.peers.empty() && c.peers.size() != static_cast<std::size_t>(c.settings.instance_count))
         fail("peers", "one address for each instance of the settings");
-    const json::object limits = json::as_object(json::required(settings, "ceilings"), "ceilings");
+    const json::object limits =
+        json::as_object(json::require_value(settings, "ceilings"), "ceilings");
     json::read(limits, "connectTimeoutUs", c.connect_timeout);
     json::read(limits, "connIdleUs", c.idle);
-    if (const auto e = json::optional_key(settings, "familyInfo"))
+    if (const auto e = json::find_value(settings, "familyInfo"))
         json::read(json::as_object(*e, "familyInfo"), "unitsTop", c.most_units);
-    if (const auto e = json::optional_key(root, "known")) {
+    if (const auto e = json::find_value(root, "known")) {
         const auto list = read_targets(json::as_object(*e, "known"));
         if (!list) fail("known", "a list of hosts in discovery's form");
         c.known = *list;
--- a/src/platform/targets.cpp
+++ b/src/platform/targets.cpp
@@ -15,17 +15,17 @@
 
 Target read_target(json::object o) {
     Target t;
-    t.entry.id = json::as_text(json::required(o, "uid"), "uid");
+    t.entry.id = json::as_text(json::require_value(o, "uid"), "uid");
     if (t.entry.id.empty()) throw json::ValueError("uid", "a name");
-    t.entry.status = state_of(json::as_text(json::required(o, "state"), "state"));
-    if (const auto e = json::optional_key(o, "az")) t.entry.zone = json::as_text(*e, "az");
-    if (const auto e = json::optional_key(o, "model")) t.entry.kind = json::as_text(*e, "model");
-    if (const auto e = json::optional_key(o, "pod_group"))
+    t.entry.status = state_of(json::as_text(json::require_value(o, "state"), "state"));
+    if (const auto e = json::find_value(o, "az")) t.entry.zone = json::as_text(*e, "az");
+    if (const auto e = json::find_value(o, "model")) t.entry.kind = json::as_text(*e, "model");
+    if (const auto e = json::find_value(o, "pod_group"))
         t.entry.cell = json::as_integer(*e, "pod_group");
     json::read(o, "capacity_hint", t.entry.weight);
-    if (const auto e = json::optional_key(o, "boot_ms"))
+    if (const auto e = json::find_value(o, "boot_ms"))
         t.entry.started_at = std::chrono::milliseconds(json::as_integer(*e, "boot_ms"));
-    if (const auto e = json::optional_key(o, "endpoint"))
+    if (const auto e = json::find_value(o, "endpoint"))
         t.endpoint = config::parse_endpoint(json::as_text(*e, "endpoint"));
     if (!t.endpoint && t.entry.status != EndpointStatus::removed)
         throw json::ValueError("endpoint", "an IP address and port");
@@ -35,9 +35,9 @@
 
 std::optional<TargetList> read_targets(json::object object) try {
     TargetList list;
-    list.revision = json::as_integer(json::required(object, "rev"), "rev");
-    list.whole = json::as_bool(json::required(object, "all"), "all");
-    for (json::element e : json::as_array(json::required(object, "targets"), "targets"))
+    list.revision = json::as_integer(json::require_value(object, "rev"), "rev");
+    list.whole = json::as_bool(json::require_value(object, "all"), "all");
+    for (json::element e : json::as_array(json::require_value(object, "targets"), "targets"))
         list.targets.push_back(read_target(json::as_object(e, "targets[]")));
     return list;
 } catch (const json::ValueError&) {
--- a/src/settings_json/json_reader.cpp
+++ b/src/settings_json/json_reader.cpp
@@ -53,34 +53,34 @@
     return as<object>(value, name, "an object");
 }
 
-element required(object parent, std::string_view key) {
+element require_value(object parent, std::string_view key) {
     element value;
     if (parent[key].get(value) != simdjson::SUCCESS)
         throw ValueError("key '" + std::string(key) + "' is missing", "a value");
     return value;
 }
 
-std::optional<element> optional_key(object parent, std::string_view key) {
+std::optional<element> find_value(object parent, std::string_view key) {
     element value;
     if (parent[key].get(value) != simdjson::SUCCESS || value.is_null()) return std::nullopt;
     return value;
 }
 
 void read(object parent, std::string_view key, double& target) {
-    if (const auto value = optional_key(parent, key)) target = as_number(*value, key);
+    if (const auto value = find_value(parent, key)) target = as_number(*value, key);
 }
 
 void read(object parent, std::string_view key, int& target) {
-    if (const auto value = optional_key(parent, key))
+    if (const auto value = find_value(parent, key))
         target = static_cast<int>(as_integer(*value, key));
 }
 
 void read(object parent, std::string_view key, bool& target) {
-    if (const auto value = optional_key(parent, key)) target = as_bool(*value, key);
+    if (const auto value = find_value(parent, key)) target = as_bool(*value, key);
 }
 
 void read(object parent, std::string_view key, Micros& target) {
-    if (const auto value = optional_key(parent, key)) target = Micros(as_integer(*value, key));
+    if (const auto value = find_value(parent, key)) target = Micros(as_integer(*value, key));
 }
 
 }  // namespace silverreach::settings_json
--- a/src/settings_json/json_reader.h
+++ b/src/settings_json/json_reader.h
@@ -35,9 +35,10 @@
 array as_array(element value, std::string_view name);
 object as_object(element value, std::string_view name);
 
-element required(object parent, std::string_view key);
+// Throws ValueError if the key is absent.
+element require_value(object parent, std::string_view key);
 // Returns nullopt if the key is absent or null.
-std::optional<element> optional_key(object parent, std::string_view key);
+std::optional<element> find_value(object parent, std::string_view key);
 
 // Reads an optional key; `target` keeps its value if the key is absent or null.
 void read(object parent, std::string_view key, double& target);
--- a/tests/core/fake_environment.h
+++ b/tests/core/fake_environment.h
@@ -39,7 +39,7 @@
     void cancel_attempt(const AttemptKey& key) override { cancelled.push_back(key); }
     bool withdraw_attempt(const AttemptKey& key) override;
     void start_health_check(const std::string& /*endpoint*/) override {}
-    void send_message(int /*rank*/, const std::string& /*bytes*/) override {}
+    void send_peer_message(int /*rank*/, const std::string& /*bytes*/) override {}
     void finish_request(RequestId id, const FinalResponse& response) override;
     void abort_response(RequestId id) override { aborted.push_back(id); }
 
