--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -21,7 +21,7 @@
     return *endpoint;
 }
 std::optional<config::Endpoint> read_optional_endpoint(json::object object, std::string_view key) {
-    if (const auto value = json::optional_key(object, key))
+    if (const auto value = json::find_value(object, key))
         return read_endpoint(json::as_text(*value, key), key);
     return std::nullopt;
 }
@@ -52,7 +52,7 @@
                                      std::string_view key) -> std::optional<std::string> {
         if (const char* variable_text = get_variable(name); variable_text && *variable_text)
             return variable_text;
-        if (const auto value = json::optional_key(root, key))
+        if (const auto value = json::find_value(root, key))
             return std::string(json::as_text(*value, key));
         return std::nullopt;
     };
@@ -68,26 +68,28 @@
         result.discovery = read_endpoint(*address, "NODE_DISCOVERY");
     else
         fail("discovery", "an IP address and port, in the file or in NODE_DISCOVERY");
-    if (const auto value = json::optional_key(root, "seed")) result.seed = read_seed(*value);
-    if (const auto value = json::optional_key(root, "limits"))
+    if (const auto value = json::find_value(root, "seed")) result.seed = read_seed(*value);
+    if (const auto value = json::find_value(root, "limits"))
         read_limits(json::as_object(*value, "limits"), result.limits);
     result.peer_listen = read_optional_endpoint(root, "peer_listen");
     result.broadcast = read_optional_endpoint(root, "peers_all");
-    if (const auto value = json::optional_key(root, "peers"))
+    if (const auto value = json::find_value(root, "peers"))
         for (json::element peer : json::as_array(*value, "peers"))
             result.peers.push_back(read_endpoint(json::as_text(peer, "peers[]"), "peers[]"));
-    const json::object settings = json::as_object(json::required(root, "settings"), "settings");
+    const json::object settings =
+        json::as_object(json::require_value(root, "settings"), "settings");
     result.settings = json::read_settings(settings);
     validate(result.settings);
     if (!result.peers.empty() &&
         result.peers.size() != static_cast<std::size_t>(result.settings.instance_count))
         fail("peers", "one address for each instance of the settings");
-    const json::object ceilings = json::as_object(json::required(settings, "ceilings"), "ceilings");
+    const json::object ceilings =
+        json::as_object(json::require_value(settings, "ceilings"), "ceilings");
     json::read(ceilings, "connectTimeoutUs", result.connect_timeout);
     json::read(ceilings, "connIdleUs", result.idle_timeout);
-    if (const auto value = json::optional_key(settings, "familyInfo"))
+    if (const auto value = json::find_value(settings, "familyInfo"))
         json::read(json::as_object(*value, "familyInfo"), "unitsTop", result.max_units);
-    if (const auto value = json::optional_key(root, "known")) {
+    if (const auto value = json::find_value(root, "known")) {
         const auto list = read_targets(json::as_object(*value, "known"));
         if (!list) fail("known", "a list of hosts in the format of discovery");
         result.initial_list = *list;
