--- a/src/log/descriptor_writer.cpp
+++ b/src/log/descriptor_writer.cpp
@@ -13,10 +13,10 @@
 
 namespace silverreach::log {
 namespace {
-constexpr int interrupted_most = 8;  // tries of a call that signals interrupt
+constexpr int interrupted_most = 8;  // write() calls when signals interrupt them
 
-// The same pipe or terminal under a description of its own: not to wait would else hold for
-// everybody who shares the one that was handed in.
+// Opens the same pipe or terminal with an open file description of its own, because O_NONBLOCK on
+// the inherited one would apply to every process that shares it.
 int reopened(int descriptor) {
     const std::string name = "/proc/self/fd/" + std::to_string(descriptor);
     return ::open(name.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC | O_NOCTTY);
@@ -69,7 +69,8 @@
     if (kind_ == Kind::socket)
         return ::send(descriptor_, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     if (kind_ == Kind::unknown) {
-        // It cannot be told not to wait; what fits a page does not, where there is room at all.
+        // The descriptor cannot be made non-blocking. If poll() reports room, a write of up to
+        // PIPE_BUF bytes does not block.
         pollfd look{descriptor_, POLLOUT, 0};
         if (::poll(&look, 1, 0) <= 0 || !(look.revents & POLLOUT)) return -1;
         bytes = bytes.substr(0, std::min<std::size_t>(bytes.size(), PIPE_BUF));
--- a/src/log/descriptor_writer.h
+++ b/src/log/descriptor_writer.h
@@ -1,6 +1,6 @@
-// Writes whole lines to a descriptor without ever waiting for its reader: what does not fit is
-// dropped and counted, and the count is told with the next line that fits. A regular file may still
-// wait for its disk.
+// Writes complete lines to a descriptor without blocking on its reader. A line that does not fit is
+// dropped and counted; the count is written before the next line that fits. A write to a regular
+// file may still block on its disk.
 #pragma once
 
 #include <cstdint>
@@ -10,35 +10,38 @@
 
 namespace silverreach::log {
 
+// Not thread-safe.
 class DescriptorWriter {
   public:
-    // `owned` descriptors are closed at the end. `dropped_line` words the line that tells of
-    // dropped ones.
+    // Closes `descriptor` on destruction if `owned`. `dropped_line` formats the line that reports
+    // how many lines were dropped.
     DescriptorWriter(int descriptor, bool owned,
                      std::function<std::string(std::uint64_t)> dropped_line);
     ~DescriptorWriter();
     DescriptorWriter(const DescriptorWriter&) = delete;
     DescriptorWriter& operator=(const DescriptorWriter&) = delete;
 
-    void write(std::string_view line);                  // its end included
-    std::uint64_t dropped() const { return dropped_; }  // lines that were not told of yet
+    void write(std::string_view line);                  // ends with a newline
+    std::uint64_t dropped() const { return dropped_; }  // lines dropped and not reported yet
 
   private:
     enum class Kind {
         file,
-        pipe,
+        pipe,  // or a terminal, reopened as non-blocking
         socket,
         unknown
     };
-    bool put(
-        std::string_view line);  // whole, or its rest kept for later; false: nothing of it went out
+    // Writes the line and keeps what does not fit for the next call. Returns false if nothing of it
+    // was written.
+    bool put(std::string_view line);
+    // Returns the bytes written; below 0 on failure.
     long write_some(std::string_view bytes) const;
 
     int descriptor_;
     bool owned_;
     Kind kind_ = Kind::unknown;
     std::function<std::string(std::uint64_t)> dropped_line_;
-    std::string rest_;  // of a line that has begun to go out
+    std::string rest_;  // unwritten end of a line that was written in part
     std::uint64_t dropped_ = 0;
 };
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -39,7 +39,7 @@
     std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S.000Z", &parts);
     return text.data();
 }
-// Words the line that tells how many were dropped, in the log's own form.
+// Formats the line that reports how many lines were dropped.
 std::string dropped_line(Form form, std::uint64_t lines) {
     const std::string line =
         line_of(form, "log_dropped", {{"lines", static_cast<std::int64_t>(lines)}});
@@ -60,7 +60,7 @@
         formatter_->format(message, line);
         writer_.write({line.data(), line.size()});
     }
-    void flush_() override {}  // nothing is held back
+    void flush_() override {}  // each line is written immediately
 
   private:
     DescriptorWriter writer_;
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,4 +1,4 @@
-// Structured log lines: a name and fields, as JSON lines or for reading.
+// Structured log: each line has an event name and fields, as JSON or as readable text.
 #pragma once
 
 #include <memory>
@@ -27,13 +27,14 @@
 using FieldValue = std::variant<std::string, std::int64_t, double>;
 using Fields = std::vector<std::pair<std::string_view, FieldValue>>;
 
+// Not thread-safe.
 class Log {
   public:
-    // To the file, or to standard error where none is named. Throws std::runtime_error where it
-    // cannot be opened.
+    // Writes lines of level `least` and above to `file`, or to standard error if it is empty.
+    // Throws std::runtime_error if the file cannot be opened.
     Log(Form form, Level least, const std::string& file);
     ~Log();
-    bool wants(Level level) const;  // whether a line of that level would be written
+    bool wants(Level level) const;  // whether lines of this level are written
     void write(Level level, std::string_view event, const Fields& fields);
     void flush();
 
@@ -42,7 +43,8 @@
     std::shared_ptr<spdlog::logger> logger_;
 };
 
-// One line without its end; what is not printable is escaped, so that no value can forge a line.
+// Formats one line without its newline. Characters that are not printable are escaped, so that no
+// value can forge a line.
 std::string line_of(Form form, std::string_view event, const Fields& fields);
 
 }  // namespace silverreach::log
