--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -154,7 +154,7 @@
     std::ofstream(folder + "/hosts.json")
         << "{\"clusterName\":\"hosts\",\"endpoints\":[{\"lbEndpoints\":[" << list << "]}]}";
     const auto start_gateway = [&](event::Loop& loop, const std::function<void(int)>& tell) {
-        log::Log log(log::Form::json, log::Level::warning, folder + "/log");
+        log::Log log(log::Format::json, log::Level::warning, folder + "/log");
         cli::Instance instance(loop, *config, folder, log);
         tell(instance.port());
         loop.run();
@@ -200,7 +200,7 @@
                         i ? "," : "", i, resp_backs.back()->port);
     }
     Child node(0, [&](event::Loop& loop, const std::function<void(int)>& tell) {
-        log::Log log(log::Form::json, log::Level::error, folder + "/node.log");
+        log::Log log(log::Format::json, log::Level::error, folder + "/node.log");
         cli::Node running(loop, node_config(targets_json), log);
         tell(running.port());
         loop.run();
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -83,7 +83,7 @@
     raise_descriptor_limit();
     signal(SIGPIPE, SIG_IGN);
     try {
-        log::Log log(static_cast<log::Form>(config.log().form()),
+        log::Log log(static_cast<log::Format>(config.log().form()),
                      static_cast<log::Level>(config.log().level()), config.log().file());
         event::Loop loop;
         const auto started = start_instance(loop, config, folder_of(path), log);
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -189,7 +189,7 @@
 
 void Instance::log_access(const frontend::http::AccessLogEntry& entry) {
     const bool ours = entry.reason != "served";
-    if (!log_.wants(ours ? log::Level::info : log::Level::debug)) return;
+    if (!log_.is_enabled(ours ? log::Level::info : log::Level::debug)) return;
     log_.write(ours ? log::Level::info : log::Level::debug, "request",
                {{"id", entry.request_id},
                 {"reason", entry.reason},
@@ -266,7 +266,7 @@
 void Instance::on_attempt_ended(const core::AttemptKey& key, const std::string& host,
                                 Outcome outcome, Micros took, const LoadReport& report,
                                 int status) {
-    if (log_.wants(log::Level::debug))
+    if (log_.is_enabled(log::Level::debug))
         log_.write(log::Level::debug, "attempt",
                    {{"request", whole(key.request)},
                     {"attempt", static_cast<std::int64_t>(key.attempt)},
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -75,7 +75,7 @@
         loop, config_.listen, command_validator_, limits, *core_, [this] { return now(); });
     frontend_->on_shortage([this] { return upstream_->evict_unused() || frontend_->close_idle(); });
     frontend_->on_close([this](const frontend::resp::ConnectionClose& close) {
-        if (!log_.wants(log::Level::debug)) return;
+        if (!log_.is_enabled(log::Level::debug)) return;
         log_.write(log::Level::debug, "client_closed",
                    {{"why", std::string(frontend::resp::to_string(close.reason))},
                     {"in_hand", whole(close.requests_in_flight)},
@@ -227,7 +227,7 @@
 }
 
 void Node::trace(std::string_view event, RequestId id, log::Fields fields) {
-    if (!log_.wants(log::Level::debug)) return;
+    if (!log_.is_enabled(log::Level::debug)) return;
     fields.insert(fields.begin(), {"request", whole(id)});
     log_.write(log::Level::debug, event, fields);
 }
@@ -256,7 +256,7 @@
         none.outcome = Outcome::not_started;
         return on_attempt_ended(key, host, 0us, std::move(none));
     }
-    if (log_.wants(log::Level::debug))
+    if (log_.is_enabled(log::Level::debug))
         trace("attempt", key.request,
               {{"client_id", fmt::format("{:016x}", frontend_->client_id(key.request))},
                {"attempt", std::int64_t{key.attempt}},
@@ -277,7 +277,7 @@
 }
 void Node::finish_request(RequestId id, const core::FinalResponse& answer) {
     if (answer.rejected) ++refused_[static_cast<std::size_t>(answer.reject_reason)];
-    if (log_.wants(log::Level::debug))
+    if (log_.is_enabled(log::Level::debug))
         trace(
             answer.rejected ? "refused" : "failed", id,
             {{"client_id", fmt::format("{:016x}", frontend_->client_id(id))},
@@ -307,7 +307,7 @@
 void Node::on_attempt_ended(const core::AttemptKey& key, const std::string& host, Micros elapsed,
                             upstream_resp::HostResponse response) {
     ++ended_[static_cast<std::size_t>(response.outcome)];
-    if (log_.wants(log::Level::debug))
+    if (log_.is_enabled(log::Level::debug))
         trace("attempt_ended", key.request,
               {{"attempt", std::int64_t{key.attempt}},
                {"host", host},
--- a/src/cli/node_program.cpp
+++ b/src/cli/node_program.cpp
@@ -54,7 +54,7 @@
   public:
     explicit NodeProgram(std::string path)
         : path_(std::move(path)),
-          log_(log::Form::readable, log_level(), ""),
+          log_(log::Format::readable, log_level(), ""),
           hup_(loop_, SIGHUP, [this] { reload(); }),
           term_(loop_, SIGTERM, [this] { stop(); }),
           interrupt_(loop_, SIGINT, [this] { stop(); }) {}
--- a/src/log/descriptor_writer.h
+++ b/src/log/descriptor_writer.h
@@ -13,10 +13,10 @@
 // Not thread-safe.
 class DescriptorWriter {
   public:
-    // Closes `descriptor` on destruction if `owned`. `dropped_line` formats the line that reports
-    // how many lines were dropped.
+    // Closes `descriptor` on destruction if `owned`. `format_dropped_line` formats the line that
+    // reports how many lines were dropped.
     DescriptorWriter(int descriptor, bool owned,
-                     std::function<std::string(std::uint64_t)> dropped_line);
+                     std::function<std::string(std::uint64_t)> format_dropped_line);
     ~DescriptorWriter();
     DescriptorWriter(const DescriptorWriter&) = delete;
     DescriptorWriter& operator=(const DescriptorWriter&) = delete;
@@ -33,15 +33,15 @@
     };
     // Writes the line and keeps what does not fit for the next call. Returns false if nothing of it
     // was written.
-    bool put(std::string_view line);
+    bool try_write(std::string_view line);
     // Returns the bytes written; below 0 on failure.
     long write_some(std::string_view bytes) const;
 
     int descriptor_;
     bool owned_;
     Kind kind_ = Kind::unknown;
-    std::function<std::string(std::uint64_t)> dropped_line_;
-    std::string rest_;  // unwritten end of a line that was written in part
+    std::function<std::string(std::uint64_t)> format_dropped_line_;
+    std::string unwritten_;  // end of a line that was written in part
     std::uint64_t dropped_ = 0;
 };
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -14,7 +14,7 @@
 
 namespace silverreach::log {
 
-enum class Form {
+enum class Format {
     readable,
     json
 };
@@ -30,21 +30,21 @@
 // Not thread-safe.
 class Log {
   public:
-    // Writes lines of level `least` and above to `file`, or to standard error if it is empty.
+    // Writes lines of level `min_level` and above to `file`, or to standard error if it is empty.
     // Throws std::runtime_error if the file cannot be opened.
-    Log(Form form, Level least, const std::string& file);
+    Log(Format format, Level min_level, const std::string& file);
     ~Log();
-    bool wants(Level level) const;  // whether lines of this level are written
+    bool is_enabled(Level level) const;  // whether lines of this level are written
     void write(Level level, std::string_view event, const Fields& fields);
     void flush();
 
   private:
-    Form form_;
+    Format format_;
     std::shared_ptr<spdlog::logger> logger_;
 };
 
 // Formats one line without its newline. Characters that are not printable are escaped, so that no
-// value can forge a line.
-std::string line_of(Form form, std::string_view event, const Fields& fields);
+// value can forge a line. As JSON, the line is the members of an object without the braces.
+std::string format_line(Format format, std::string_view event, const Fields& fields);
 
 }  // namespace silverreach::log
--- a/tests/gateway/rig.h
+++ b/tests/gateway/rig.h
@@ -78,7 +78,7 @@
 class TestGateway : public test_support::OnLoop {
   public:
     explicit TestGateway(const Options& o = {})
-        : log_(log::Form::json, log::Level::debug, "/dev/null") {
+        : log_(log::Format::json, log::Level::debug, "/dev/null") {
         signal(SIGPIPE, SIG_IGN);
         char name[] = "/tmp/silverreach-test-XXXXXX";
         folder_ = mkdtemp(name);
--- a/tests/node/rig.h
+++ b/tests/node/rig.h
@@ -170,7 +170,7 @@
 class TestNode : public test_support::OnLoop {
   public:
     explicit TestNode(const Options& o = {})
-        : log_(log::Form::json, log::Level::debug, "/dev/null") {
+        : log_(log::Format::json, log::Level::debug, "/dev/null") {
         signal(SIGPIPE, SIG_IGN);
         std::string targets;
         for (int i = 0; i < o.hosts; ++i) {
