--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -13,7 +13,7 @@
 namespace silverreach::config {
 namespace {
 namespace pb = google::protobuf;
-constexpr int effects = 3;
+constexpr int effects = 3;  // values of Idempotency
 
 struct Collector : pb::io::ErrorCollector {
     const std::string& file;
@@ -23,14 +23,14 @@
         problems.push_back({file, line + 1, fmt::format("column {}", column + 1),
                             "valid text format: " + message});
     }
-    // Unknown fields come as warnings, so that reading goes on and all of them are told at once.
+    // The parser reports unknown fields as warnings and continues, so that all of them are listed.
     void AddWarning(int line, int column, const std::string& message) override {
         problems.push_back(
             {file, line + 1, fmt::format("column {}", column + 1), "a known field: " + message});
     }
 };
 
-// Looks at a message with the place of each field at hand.
+// Validates messages and reports each problem with the line of its field.
 class Checker {
   public:
     Checker(const std::string& file, std::vector<Problem>& problems,
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,5 @@
-// The gateway's configuration: protobuf text format, checked as a whole. No I/O.
+// The gateway's configuration: parses the protobuf text format and validates it. No I/O.
+// The free functions are thread-safe.
 #pragma once
 
 #include <map>
@@ -17,35 +18,39 @@
 using openapi::Problem;
 using Micros = silverreach::Micros;
 
-struct Endpoint {  // of IP address and port, "127.0.0.1:80" or "[::1]:80"
+// An IP address and a port, written as "127.0.0.1:80" or "[::1]:80".
+struct Endpoint {
     std::string ip;
     int port = 0;
     bool v6 = false;
     std::string text() const;
     bool operator==(const Endpoint&) const = default;
 };
+// Returns nothing unless `text` is an IP address and a port from 0 to 65535.
 std::optional<Endpoint> parse_endpoint(std::string_view text);
 
-// Parses and checks; every problem found is appended, with file, line and field, and nothing
-// returned.
+// Parses and validates `text`. If it is invalid, returns null and appends every problem to
+// `problems`, with `file`, line and field.
 std::unique_ptr<Config> parse(std::string_view text, const std::string& file,
                               std::vector<Problem>& problems);
 
-// What the module is started with. A configured class becomes three of the module's, one for each
-// effect, since a route's effect comes from the description.
+// Returns the decision engine's settings. Each configured class becomes three engine classes, one
+// per Idempotency, because a route's idempotency comes from the API description.
 Settings settings_of(const Config& config);
-int class_index(const Config& config, std::string_view name,
-                Idempotency effect);                            // below 0: unknown
-const RequestClass& class_at(const Config& config, int index);  // of a class_index
-int plan_index(const Config& config, std::string_view name);    // below 0: unknown
+// Index into Settings::classes; -1 if no class has this name.
+int class_index(const Config& config, std::string_view name, Idempotency effect);
+// The configured class of an index into Settings::classes.
+const RequestClass& class_at(const Config& config, int index);
+// Index into Settings::plans; -1 if no plan has this name.
+int plan_index(const Config& config, std::string_view name);
 
 openapi::Policy policy_of(const Config& config);
 
-// The account behind a key, as the key index returns it.
+// The account of an API key.
 struct AccountRef {
     std::string name;
-    int plan = -1;
-    std::string key_id;  // public; for logs
+    int plan = -1;       // index into Settings::plans
+    std::string key_id;  // not secret, for logs; empty for keys listed in the configuration
 };
 // Finds the account of an API key.
 class KeyIndex {
@@ -53,12 +58,12 @@
     virtual ~KeyIndex() = default;
     struct Found {
         std::optional<AccountRef> account;
-        std::string why;  // for the client, where there is none; never any of the key's text
+        std::string why;  // for the client if there is no account; never contains the key's text
     };
     virtual Found by_key(std::string_view key) = 0;
 };
 
-using AccountBook = KeyIndex;  // the name that src/frontend still uses
+using AccountBook = KeyIndex;  // the former name, used in src/frontend
 
 // The accounts and keys that the configuration lists.
 class StaticKeyIndex : public KeyIndex {
