--- a/src/config/config.h
+++ b/src/config/config.h
@@ -38,7 +38,7 @@
 // per Idempotency, because a route's idempotency comes from the API description.
 Settings settings_of(const Config& config);
 // Index into Settings::classes; -1 if no class has this name.
-int class_index(const Config& config, std::string_view name, Idempotency effect);
+int class_index(const Config& config, std::string_view name, Idempotency idempotency);
 // The configured class of an index into Settings::classes.
 const RequestClass& class_at(const Config& config, int index);
 // Index into Settings::plans; -1 if no plan has this name.
