--- a/scenario_runner/commands.cpp
+++ b/scenario_runner/commands.cpp
@@ -159,7 +159,8 @@
     std::vector<std::pair<std::string, int>> own;
     for (const std::string& text : gateways) {
         const auto at = config::parse_endpoint(text);
-        if (!at || at->v6) throw std::runtime_error(text + ": expected an IPv4 address and port");
+        if (!at || at->is_ipv6)
+            throw std::runtime_error(text + ": expected an IPv4 address and port");
         own.emplace_back(at->ip, at->port);
     }
     event::Loop loop;
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -112,7 +112,7 @@
 }
 
 void Node::reload(const platform::NodeConfig& fresh) {
-    log_.write(log::Level::warning, "configuration", {{"discovery", fresh.discovery.text()}});
+    log_.write(log::Level::warning, "configuration", {{"discovery", fresh.discovery.to_string()}});
     discovery_watch_->redirect(fresh.discovery);
 }
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -256,8 +256,8 @@
 }
 }  // namespace
 
-std::string Endpoint::text() const {
-    return v6 ? fmt::format("[{}]:{}", ip, port) : fmt::format("{}:{}", ip, port);
+std::string Endpoint::to_string() const {
+    return is_ipv6 ? fmt::format("[{}]:{}", ip, port) : fmt::format("{}:{}", ip, port);
 }
 
 std::optional<Endpoint> parse_endpoint(std::string_view text) {
@@ -269,11 +269,11 @@
     if (result.ec != std::errc() || result.ptr != port.data() + port.size() || endpoint.port < 0 ||
         endpoint.port > 65535)
         return std::nullopt;
-    endpoint.v6 = ip.size() > 2 && ip.front() == '[' && ip.back() == ']';
-    if (endpoint.v6) ip = ip.substr(1, ip.size() - 2);
+    endpoint.is_ipv6 = ip.size() > 2 && ip.front() == '[' && ip.back() == ']';
+    if (endpoint.is_ipv6) ip = ip.substr(1, ip.size() - 2);
     endpoint.ip = ip;
     std::array<unsigned char, sizeof(in6_addr)> bytes{};
-    if (inet_pton(endpoint.v6 ? AF_INET6 : AF_INET, endpoint.ip.c_str(), bytes.data()) != 1)
+    if (inet_pton(endpoint.is_ipv6 ? AF_INET6 : AF_INET, endpoint.ip.c_str(), bytes.data()) != 1)
         return std::nullopt;
     return endpoint;
 }
@@ -373,12 +373,12 @@
     for (const auto& account : config.account()) {
         accounts_.push_back({account.name(), plan_index(config, account.plan()), {}});
         for (const std::string& key : account.key())
-            by_key_.emplace(key, accounts_.size() - 1);
+            accounts_by_key_.emplace(key, accounts_.size() - 1);
     }
 }
-KeyIndex::Found StaticKeyIndex::by_key(std::string_view key) {
-    const auto found = by_key_.find(std::string(key));
-    if (found == by_key_.end()) return {std::nullopt, "no account has this key"};
+KeyIndex::Found StaticKeyIndex::find_account(std::string_view key) {
+    const auto found = accounts_by_key_.find(std::string(key));
+    if (found == accounts_by_key_.end()) return {std::nullopt, "no account has this key"};
     return {accounts_[found->second], {}};
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -22,8 +22,8 @@
 struct Endpoint {
     std::string ip;
     int port = 0;
-    bool v6 = false;
-    std::string text() const;
+    bool is_ipv6 = false;
+    std::string to_string() const;
     bool operator==(const Endpoint&) const = default;
 };
 // Returns nothing unless `text` is an IP address and a port from 0 to 65535.
@@ -58,9 +58,9 @@
     virtual ~KeyIndex() = default;
     struct Found {
         std::optional<AccountRef> account;
-        std::string why;  // for the client if there is no account; never contains the key's text
+        std::string error;  // for the client if there is no account; never contains the key's text
     };
-    virtual Found by_key(std::string_view key) = 0;
+    virtual Found find_account(std::string_view key) = 0;
 };
 
 using AccountBook = KeyIndex;  // the former name, used in src/frontend
@@ -69,11 +69,11 @@
 class StaticKeyIndex : public KeyIndex {
   public:
     explicit StaticKeyIndex(const Config& config);
-    Found by_key(std::string_view key) override;
+    Found find_account(std::string_view key) override;
 
   private:
     std::vector<AccountRef> accounts_;
-    std::unordered_map<std::string, std::size_t> by_key_;
+    std::unordered_map<std::string, std::size_t> accounts_by_key_;
 };
 
 }  // namespace silverreach::config
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -117,7 +117,7 @@
     ++connect_generation_;
     if (stream_) retire_stream();
     int error = 0;
-    event::Fd fd = event::connect_to(service_.ip, service_.port, service_.v6, error);
+    event::Fd fd = event::connect_to(service_.ip, service_.port, service_.is_ipv6, error);
     if (!fd) return back_off(DiscoveryErrorCode::connect_failed, std::strerror(error), false);
     state_ = State::awaiting_list;
     const bool complete = request_complete_list_ || revision_ < 0;
@@ -125,7 +125,7 @@
     stream_ = std::make_unique<WatchStream>(
         *this, std::move(fd),
         fmt::format("GET /v1/endpoints?follow=1{} HTTP/1.1\r\nHost: {}\r\n\r\n", since,
-                    service_.text()));
+                    service_.to_string()));
 }
 
 void DiscoveryWatch::on_list_accepted(platform::TargetList list) {
@@ -142,7 +142,7 @@
 void DiscoveryWatch::back_off(DiscoveryErrorCode code, const std::string& detail, bool was_stable) {
     state_ = State::backing_off;
     if (!std::exchange(outage_reported_, true))
-        callbacks_.on_unavailable({code, service_.text(), detail});
+        callbacks_.on_unavailable({code, service_.to_string(), detail});
     const Micros delay = was_stable ? Micros(0) : backoff_;
     backoff_ =
         was_stable ? timeouts_.initial_backoff : std::min(backoff_ * 2, timeouts_.max_backoff);
--- a/src/discovery/rest_discovery.cpp
+++ b/src/discovery/rest_discovery.cpp
@@ -39,7 +39,7 @@
 bool RestDiscovery::connect() {
     if (stream_ && !stream_->closed()) return true;
     int error = 0;
-    event::Fd fd = event::connect_to(service_.ip, service_.port, service_.v6, error);
+    event::Fd fd = event::connect_to(service_.ip, service_.port, service_.is_ipv6, error);
     if (!fd) {
         on_failure(DiscoveryErrorCode::connect_failed, std::strerror(error));
         return false;
@@ -59,7 +59,7 @@
     requested_at_ = loop_.now();
     stream_->write(fmt::format("POST /v3/discovery:endpoints HTTP/1.1\r\nHost: {}\r\nContent-Type: "
                                "application/json\r\nContent-Length: {}\r\n\r\n",
-                               service_.text(), body.size()) +
+                               service_.to_string(), body.size()) +
                    body);
 }
 
@@ -109,7 +109,7 @@
     if (status_ != 200 && !unchanged)
         return on_failure(DiscoveryErrorCode::unexpected_reply, fmt::format("status {}", status_));
     failure_reported_ = false;
-    if (!unchanged) updater_.update(body_, "discovery " + service_.text());
+    if (!unchanged) updater_.update(body_, "discovery " + service_.to_string());
 }
 
 void RestDiscovery::on_failure(DiscoveryErrorCode code, std::string detail) {
@@ -119,7 +119,7 @@
         retired_stream_ = std::move(stream_);
     }
     if (std::exchange(failure_reported_, true)) return;
-    updater_.report_unavailable({code, service_.text(), std::move(detail)});
+    updater_.report_unavailable({code, service_.to_string(), std::move(detail)});
 }
 
 }  // namespace silverreach::discovery
--- a/src/frontend/common/connection_manager.cpp
+++ b/src/frontend/common/connection_manager.cpp
@@ -8,7 +8,7 @@
                                      const ConnectionPolicy& policy, Factory factory)
     : loop_(loop), policy_(policy), factory_(std::move(factory)), deferred_deletion_(loop) {
     listener_ = std::make_unique<event::Listener>(
-        loop, listen.ip, listen.port, listen.v6, [this] { return ensure_capacity(); },
+        loop, listen.ip, listen.port, listen.is_ipv6, [this] { return ensure_capacity(); },
         [this](event::Fd fd, std::string client) { accept(std::move(fd), std::move(client)); });
     if (policy_.sweep_period > Micros(0)) sweep();
 }
--- a/src/frontend/http/request_resolver.cpp
+++ b/src/frontend/http/request_resolver.cpp
@@ -113,8 +113,8 @@
     if (keys.empty()) return key_error("Key missing", "the operation needs an account's key");
     if (keys.size() > 1)
         return key_error("More than one key", "the request carries different keys");
-    auto found = accounts_.by_key(*keys.begin());
-    if (!found.account) return key_error("Key not served", found.why);
+    auto found = accounts_.find_account(*keys.begin());
+    if (!found.account) return key_error("Key not served", found.error);
     into.account = std::move(found.account);
     return std::nullopt;
 }
--- a/src/peers/datagram_socket.cpp
+++ b/src/peers/datagram_socket.cpp
@@ -15,7 +15,7 @@
 
 DatagramAddress::DatagramAddress(const config::Endpoint& endpoint) {
     const auto port = htons(static_cast<std::uint16_t>(endpoint.port));
-    if (endpoint.v6) {
+    if (endpoint.is_ipv6) {
         auto* address = reinterpret_cast<sockaddr_in6*>(&storage_);
         address->sin6_family = AF_INET6;
         address->sin6_port = port;
--- a/src/registry/key_index.cpp
+++ b/src/registry/key_index.cpp
@@ -97,7 +97,7 @@
     callbacks_.on_loaded(registry_->version());
 }
 
-config::KeyIndex::Found ReloadingKeyIndex::by_key(std::string_view key) {
+config::KeyIndex::Found ReloadingKeyIndex::find_account(std::string_view key) {
     const accounts::KeyLookup found = registry_->look_up(key, now());
     if (found.status != accounts::KeyStatus::valid)
         return {std::nullopt, rejection_of(found.status)};
--- a/src/registry/key_index.h
+++ b/src/registry/key_index.h
@@ -26,7 +26,7 @@
     // outlive this.
     ReloadingKeyIndex(event::Loop& loop, const config::Config& config, std::string folder,
                       Callbacks callbacks);
-    Found by_key(std::string_view key) override;
+    Found find_account(std::string_view key) override;
 
   private:
     struct LoadResult {
--- a/src/upstream/common/connection_pool.cpp
+++ b/src/upstream/common/connection_pool.cpp
@@ -130,10 +130,10 @@
 }
 
 event::Fd ConnectionPool::connect(const config::Endpoint& address, int& error) {
-    event::Fd fd = event::connect_to(address.ip, address.port, address.v6, error);
+    event::Fd fd = event::connect_to(address.ip, address.port, address.is_ipv6, error);
     const bool out_of_descriptors = !fd && (error == EMFILE || error == ENFILE);
     if (out_of_descriptors && policy_.evict_on_descriptor_shortage && evict_unused())
-        fd = event::connect_to(address.ip, address.port, address.v6, error);
+        fd = event::connect_to(address.ip, address.port, address.is_ipv6, error);
     return fd;
 }
 
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -46,8 +46,8 @@
     EXPECT_EQ(s.classes[static_cast<std::size_t>(write)].deadline, std::chrono::milliseconds(900));
     EXPECT_EQ(class_index(*c, "nope", Idempotency::idempotent), -1);
     StaticKeyIndex accounts(*c);
-    EXPECT_EQ(accounts.by_key("k2").account->name, "birds");
-    EXPECT_FALSE(accounts.by_key("k3").account);
+    EXPECT_EQ(accounts.find_account("k2").account->name, "birds");
+    EXPECT_FALSE(accounts.find_account("k3").account);
 }
 
 TEST(Config, EveryErrorAtOnceWithFileLineFieldAndWhatWasExpected) {
@@ -95,7 +95,7 @@
 }
 
 TEST(Config, EndpointsAreAddressesWithPorts) {
-    EXPECT_EQ(parse_endpoint("[::1]:80")->text(), "[::1]:80");
+    EXPECT_EQ(parse_endpoint("[::1]:80")->to_string(), "[::1]:80");
     EXPECT_EQ(parse_endpoint("127.0.0.1:0")->port, 0);
     for (const char* bad : {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:65536", "127.0.0.1:-1",
                             "::1:80", "[::1]", "h:80", "1.2.3:4", "1.2.3.4:8x"})
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -45,7 +45,7 @@
 
 TEST(NodeConfig, IsReadWhole) {
     const NodeConfig c = parsed(node_test::config_json());
-    EXPECT_EQ(c.listen.text(), "127.0.0.1:0");
+    EXPECT_EQ(c.listen.to_string(), "127.0.0.1:0");
     EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
     EXPECT_EQ(c.limits.sockets, 256);
     EXPECT_EQ(c.settings.classes.size(), 2u);
