--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -22,7 +22,7 @@
         : file(file_name), problems(problem_list) {}
     void AddError(int line, int column, const std::string& message) override {
         problems.push_back({file, line + 1, fmt::format("column {}", column + 1),
-                            "valid text format: " + message});
+                            "valid protobuf text format: " + message});
     }
     // The parser reports unknown fields as warnings and continues, so that all of them are listed.
     void AddWarning(int line, int column, const std::string& message) override {
@@ -78,7 +78,7 @@
     const Listen& listen = config.listen();
     if (!parse_endpoint(listen.address()))
         validator.report(tree, listen, "address", -1, "listen.address",
-                         "IP address and port, as in \"127.0.0.1:8080\"");
+                         "IP address and port, such as \"127.0.0.1:8080\"");
     validator.require_at_least(tree, listen, "max_connections", "listen.", listen.max_connections(),
                                1);
     validator.require_at_least(tree, listen, "max_target_bytes", "listen.",
@@ -114,7 +114,7 @@
     }
     if (fleet.peer_size() == 0)
         validator.report(validator.root(), config, "peers", -1, "peers.peer",
-                         "every instance of the fleet, this one too");
+                         "every instance of the fleet, including this one");
     else if (fleet.rank() < 0 || fleet.rank() >= fleet.peer_size())
         validator.report(tree, fleet, "rank", -1, "peers.rank",
                          fmt::format("a rank from 0 to {}", fleet.peer_size() - 1));
@@ -144,7 +144,7 @@
     }
     if (names.empty())
         validator.report(validator.root(), config, "class", -1, "class",
-                         "one class of requests at least");
+                         "at least one request class");
     if (config.api().has_unpriced() && !names.contains(config.api().unpriced().class_())) {
         auto* api_tree = Validator::nested_tree(validator.root(), config, "api", -1);
         validator.report(Validator::nested_tree(api_tree, config.api(), "unpriced", -1),
@@ -172,14 +172,14 @@
         validator.require_at_least(tree, plan, "max_open", path, plan.max_open(), 0);
         if (plan.rate() > 0 && plan.burst() <= 0)
             validator.report(tree, plan, "rate", -1, path + "burst",
-                             "a burst above 0 beside a rate");
+                             "a burst above 0 when a rate is set");
         if (plan.hard_rate() > 0 && plan.hard_burst() <= 0)
             validator.report(tree, plan, "hard_rate", -1, path + "hard_burst",
-                             "a hard_burst above 0 beside a hard_rate");
+                             "a hard_burst above 0 when a hard_rate is set");
     }
     if (config.has_registry() && config.account_size() > 0)
         validator.report(validator.root(), config, "account", 0, "account",
-                         "either accounts here or a registry");
+                         "either accounts or a registry, not both");
     validator.require_at_least<std::int64_t>(validator.root(), config, "clock_skew_ms", "",
                                              config.clock_skew_ms(), 0);
     if (config.api().has_anonymous_plan() && !names.contains(config.api().anonymous_plan()))
@@ -199,7 +199,7 @@
         for (int k = 0; k < account.key_size(); ++k)
             if (account.key(k).empty() || !keys.insert(account.key(k)).second)
                 validator.report(tree, account, "key", k, fmt::format("{}key[{}]", path, k),
-                                 "a key that stands nowhere else");
+                                 "a key that is listed only once");
     }
 }
 
@@ -223,7 +223,7 @@
                          "a path that starts with '/'");
     if (hosts.reports() == Hosts::ON_PROBE && !hosts.has_probe_path())
         validator.report(tree, hosts, "reports", -1, "hosts.probe_path",
-                         "a path, where reports come on probes");
+                         "a path, because reports are read from probes");
 }
 
 void check_rules(Validator& validator, const Config& config) {
@@ -239,7 +239,7 @@
                                0.0);
     if (!(rules.start_capacity() > 0 && rules.start_capacity() <= 1))
         validator.report(rules_tree, rules, "start_capacity", -1, "rules.start_capacity",
-                         "a share above 0, up to 1");
+                         "a share above 0 and up to 1");
     const Attempts& attempts = config.attempts();
     auto* attempts_tree = Validator::nested_tree(validator.root(), config, "attempts", -1);
     validator.require_at_least(attempts_tree, attempts, "most", "attempts.", attempts.most(), 1);
