--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -49,8 +49,7 @@
     return {std::move(config), problems.empty() ? Exit::done : Exit::bad_answer};
 }
 
-// Each client and host costs a descriptor; the soft limit is raised as far as the system lets an
-// ordinary user.
+// Raises the soft limit on descriptors to the hard limit, because each client and host needs one.
 void raise_descriptor_limit() {
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -58,7 +57,8 @@
     setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-// An address that is still in use, or a table of files that is full, may not be a moment later.
+// Retries on system errors, because an address in use or a full file table may be free shortly
+// after.
 std::unique_ptr<Instance> start_instance(event::Loop& loop, const config::Config& config,
                                          const std::string& folder, log::Log& log) {
     const Micros until = event::Loop::clock() + start_most;
--- a/src/cli/files.h
+++ b/src/cli/files.h
@@ -1,4 +1,4 @@
-// Small files as text.
+// Reads small files as text.
 #pragma once
 
 #include <optional>
@@ -6,8 +6,9 @@
 
 namespace silverreach::cli {
 
-// The whole file; nothing where it cannot be opened or read to its end.
+// Returns the complete content; nothing if the file cannot be opened or read.
 std::optional<std::string> read_file(const std::string& path);
+// Returns the path of the folder that contains `path`; "." if it names none.
 std::string folder_of(const std::string& path);
 
 }  // namespace silverreach::cli
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -92,8 +92,8 @@
 }
 Instance::~Instance() {
     alive_.reset();
-    // The front's connections may tell the core of their end; the core may still send: in this
-    // order none is missing.
+    // Connections of the front end report their end to the core, which may then use the upstream,
+    // so the front end is destroyed first.
     discovery_.reset();
     frontend_.reset();
     upstream_.reset();
@@ -111,7 +111,8 @@
     return openapi::load(*text, path, config::policy_of(config_), problems);
 }
 
-// A large description takes longer to read than answers may wait, so it is read on a thread.
+// Reads on a background thread, because reading a large description would delay responses too
+// long.
 void Instance::reload(std::function<void(bool)> done) {
     if (background_.busy()) {
         reload_again_ = true;
@@ -210,7 +211,7 @@
     core_->on_endpoints_changed(loop_.now(), {true, std::move(hosts)});
 }
 
-// ---- core::Outside
+// ---- core::Environment
 // ---------------------------------------------------------------------------------------
 
 void Instance::start_timer(Micros from_now, core::Timer timer) {
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -1,4 +1,4 @@
-// One running gateway: the parts put together, and the core's way out to them.
+// One HTTP gateway: owns its parts and connects the core to them.
 #pragma once
 
 #include <memory>
@@ -20,24 +20,26 @@
 
 namespace silverreach::cli {
 
+// Used on the loop's thread. `loop`, `config` and `log` must outlive it.
 class Instance : private core::Environment, private upstream_http::AttemptCallbacks {
   public:
-    // `folder`: what relative names in the configuration start from. Throws std::runtime_error with
-    // a plain message where a socket, file or the description is not to be had.
+    // Relative paths in the configuration are relative to `folder`. Throws std::runtime_error if a
+    // socket cannot be opened, or a file or the API description cannot be loaded.
     Instance(event::Loop& loop, const config::Config& config, std::string folder, log::Log& log);
     ~Instance() override;
 
     int port() const { return frontend_->port(); }
-    // Reads the description again, beside the traffic; a bad one is logged with all its errors and
-    // the old one stays. `done`, where given, hears whether it is in force. Asked again meanwhile,
-    // it reads once more.
+    // Reloads the API description on a background thread. If it is invalid, all its errors are
+    // logged and the current one stays in use. `done`, if set, receives whether the new one is in
+    // use. A call during a reload gets false and starts another reload after it.
     void reload(std::function<void(bool)> done = {});
-    // Takes no more, ends what is in hand, then calls `done`, after `most` at the latest.
+    // Stops listening and calls `done` once the requests in flight have ended, after `most` at the
+    // latest.
     void drain(Micros most, std::function<void()> done);
     void log_counts();
 
   private:
-    // ---- core::Outside ----
+    // ---- core::Environment ----
     void start_timer(Micros from_now, core::Timer timer) override;
     void send_attempt(const core::AttemptKey& key, const std::string& host, Micros within) override;
     void cancel_attempt(const core::AttemptKey& key) override;
--- a/src/cli/keys.cpp
+++ b/src/cli/keys.cpp
@@ -45,7 +45,7 @@
     }
 }
 
-// Commits the operation; with --dry-run it only checks it. Empty, or why it was not made.
+// Commits the operation; with --dry-run only checks it. Returns the error; empty on success.
 std::string commit_or_check(const Options& o, registry::Store& store, const Operation& operation) {
     const UnixTime at = wall_clock_now();
     if (!o.dry) {
@@ -73,7 +73,8 @@
     });
 }
 
-// A fresh key; its text is printed once, after it is durable, and kept nowhere.
+// Makes a key and commits the operation that adds it. The key's text is printed once, after the
+// operation is durable, and is not stored.
 int with_new_key(
     const Options& o,
     const std::function<Operation(const std::string& id, const KeyHash&)>& operation_of,
--- a/src/cli/keys.h
+++ b/src/cli/keys.h
@@ -1,4 +1,4 @@
-// The commands that keep the registry of accounts, plans and keys.
+// The commands that manage the registry of accounts, plans and keys.
 #pragma once
 
 namespace CLI {
@@ -7,6 +7,7 @@
 
 namespace silverreach::cli {
 
+// Adds them to `app`; each stores its exit code in `code`.
 void add_key_commands(CLI::App& app, int& code);
 
 }  // namespace silverreach::cli
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -11,13 +11,14 @@
 using namespace std::chrono_literals;
 constexpr Micros drain_look = 10ms;
 constexpr int reserved_descriptors = 24;  // listener, discovery, peers, loop, log, files
-// For the log, in the order of the types.
+// Values in log lines, indexed by RejectReason, FailureReason and Outcome.
 const std::array<std::string, 7> refuse_texts{"quota",   "ceiling",   "open", "pressed",
                                               "no_host", "no_answer", "late"};
 const std::array<std::string, 2> fail_texts{"bad_answer", "no_time"};
 const std::array<std::string, 8> outcome_texts{"good",           "error", "full",      "timeout",
                                                "connect_failed", "reset", "cancelled", "moot"};
-constexpr Micros idle_reserve = 2s;  // a connection is given up so long before its host does
+constexpr Micros idle_reserve =
+    2s;  // idle connections are closed this long before the host closes them
 
 Micros unix_now() {
     return std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
@@ -26,7 +27,7 @@
     return static_cast<std::int64_t>(value);
 }
 
-// The descriptors there are: told, and granted by the system.
+// Returns how many descriptors the configuration and the system both allow.
 int descriptors(const platform::NodeLimits& told) {
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY)
@@ -127,7 +128,7 @@
                     wait_for_drain(std::move(done));
                 });
 }
-// As long as a request is in hand it goes on, however late: to end by itself would lose it.
+// Waits without a time limit, because stopping with a request in flight would lose it.
 void Node::wait_for_drain(std::function<void()> done) {
     if (!frontend_->listening() && frontend_->stats().connections == 0) return done();
     loop_.after(drain_look,
@@ -200,7 +201,7 @@
             {"peak_kib", std::int64_t{use.ru_maxrss}}};
 }
 
-// Client connections that ended, by reason.
+// Returns the number of client connections that ended, by reason.
 log::Fields Node::close_fields() const {
     const auto closes = frontend_->stats().closes;
     log::Fields fields;
@@ -210,7 +211,8 @@
     return fields;
 }
 
-// What the rules stopped, and what went past them: the last three stay 0.
+// Returns the attempts that the rules stopped, and the violations of rules: the last three fields,
+// which must stay 0.
 log::Fields Node::rule_fields() const {
     const core::Counters& c = core_->counters();
     log::Fields fields{{"stopped_choices", whole(c.blocked_choices.sum())},
@@ -243,7 +245,7 @@
             {"host_connect_ms", ms(config_.connect_timeout)}};
 }
 
-// ---- core::Outside
+// ---- core::Environment
 // ---------------------------------------------------------------------------------------
 
 void Node::start_timer(Micros from_now, core::Timer timer) {
@@ -286,7 +288,7 @@
              {"retry_after_us", std::int64_t{answer.retry_after.count()}}});
     frontend_->finish(id, answer);
 }
-void Node::abort_response(RequestId) {}  // an answer is taken whole or not at all
+void Node::abort_response(RequestId) {}  // responses are forwarded only when complete
 
 void Node::on_attempt_blocked(const core::AttemptKey& key, const std::string& host,
                               rules::BlockReason why) {
@@ -301,7 +303,7 @@
 
 std::optional<Micros> Node::begin_send(const core::AttemptKey& key) {
     frontend_->check_client_connected(key.request);
-    // Read afresh: the turn may have taken long since it began.
+    // Reads the clock again, because the loop's time is that of the start of its turn.
     return core_->begin_send(event::Loop::clock() + offset_, key);
 }
 void Node::on_attempt_ended(const core::AttemptKey& key, const std::string& host, Micros elapsed,
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -1,6 +1,6 @@
-// The gateway on the operators' platform: `silverreach node`. The same core and module as `serve`,
-// with the platform's RESP2 towards clients and hosts, its discovery and its datagrams between
-// instances.
+// The gateway on the operators' platform (`silverreach node`). It uses the same core and decision
+// engine as `serve`, with the platform's RESP2 protocol to clients and hosts, its discovery and its
+// datagrams between instances.
 #pragma once
 
 #include <array>
@@ -19,26 +19,25 @@
 
 namespace silverreach::cli {
 
+// Used on the loop's thread. `loop` and `log` must outlive it.
 class Node : private core::Environment, private upstream_resp::AttemptCallbacks {
   public:
-    // Throws std::runtime_error with a plain message where a socket is not to be had.
+    // Throws std::runtime_error if a socket cannot be opened.
     Node(event::Loop& loop, platform::NodeConfig config, log::Log& log);
     ~Node() override;
 
     int port() const { return frontend_->port(); }
-    // A new configuration: its discovery is followed from now on. What else differs waits for a
-    // restart.
+    // Follows the discovery service of a new configuration. Other changes need a restart.
     void reload(const platform::NodeConfig& fresh);
-    // Goes on serving for `notice`, while clients still come; then takes no new connection and
-    // calls `done` once all that it has taken is answered. What comes meanwhile is answered within
-    // `most` from now, and what comes within `notice` is still accepted. A second call changes
-    // nothing.
+    // Continues to serve for `notice`, in which clients may still connect, then stops listening and
+    // calls `done` once every connection has ended. Requests on open connections are answered if
+    // they are received within `most` from now. Further calls have no effect.
     void drain(Micros notice, Micros most, std::function<void()> done);
     void log_counts();
-    log::Fields limits() const;  // by which it runs, for the log
+    log::Fields limits() const;  // of the configuration, for the log
 
   private:
-    // ---- core::Outside ----
+    // ---- core::Environment ----
     void start_timer(Micros from_now, core::Timer timer) override;
     void send_attempt(const core::AttemptKey& key, const std::string& host, Micros within) override;
     void cancel_attempt(const core::AttemptKey& key) override;
@@ -60,14 +59,16 @@
     log::Fields traffic_fields() const;
     log::Fields close_fields() const;
     log::Fields rule_fields() const;
-    void trace(std::string_view event, RequestId id, log::Fields fields);  // debug, of one request
+    // Logs an event of one request at level debug.
+    void trace(std::string_view event, RequestId id, log::Fields fields);
     void wait_for_drain(std::function<void()> done);
 
     event::Loop& loop_;
     const platform::NodeConfig config_;
     log::Log& log_;
-    // The core's clock is Unix time as this process found it at its start, moved on by the
-    // monotonic clock: hosts' start times are in it, and it never goes back.
+    // Offset of the core's clock from the monotonic clock. The core's clock is Unix time at the
+    // start of the process, advanced by the monotonic clock: hosts' start times are in Unix time,
+    // and the core's clock must not go back.
     const Micros offset_;
     platform::CommandValidator command_validator_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
@@ -78,8 +79,8 @@
     std::unique_ptr<frontend::resp::Frontend> frontend_;
     std::unique_ptr<discovery::DiscoveryWatch> discovery_watch_;
     bool draining_ = false;
-    std::array<std::uint64_t, 7> refused_{};  // by RefuseReason
-    std::array<std::uint64_t, 8> ended_{};    // attempts, by Outcome
+    std::array<std::uint64_t, 7> refused_{};  // rejected requests, by RejectReason
+    std::array<std::uint64_t, 8> ended_{};    // attempts that ended, by Outcome
 };
 
 }  // namespace silverreach::cli
--- a/src/cli/node_program.cpp
+++ b/src/cli/node_program.cpp
@@ -19,21 +19,22 @@
 namespace {
 using namespace std::chrono_literals;
 constexpr Micros counts_period = 10s;
-constexpr Micros notice = 500ms;  // that clients may need to see that this instance is ending
-constexpr Micros killed_after = 700ms,
-                 deadline_counted = 3s;   // SIGKILL: so long after SIGTERM and a deadline
-constexpr Micros kill_margin = 100ms;     // before it, for the last answer to get out
-constexpr Micros start_config_most = 3s;  // for a configuration that cannot be read or is not whole
-constexpr Micros reload_again = 100ms;    // between tries of a new configuration
+constexpr Micros notice = 500ms;  // time for clients to learn that this instance stops
+// The platform sends SIGKILL this long after SIGTERM, plus the longest request deadline, of which
+// it counts no more than `deadline_counted`.
+constexpr Micros killed_after = 700ms, deadline_counted = 3s;
+constexpr Micros kill_margin = 100ms;     // time before SIGKILL for sending the last responses
+constexpr Micros start_config_most = 3s;  // retry time for an unreadable or incomplete file
+constexpr Micros reload_again = 100ms;    // between attempts to load a new configuration
 constexpr Micros reload_most = 10s;
 
-// SILVERREACH_LOG=debug tells of every request, attempt and close.
+// SILVERREACH_LOG=debug logs every request, attempt and closed connection.
 log::Level log_level() {
     const char* level = getenv("SILVERREACH_LOG");
     return level && std::string_view(level) == "debug" ? log::Level::debug : log::Level::info;
 }
 
-// The file cannot be read now, or is not one JSON object: it may be being written.
+// The file cannot be read or is not one JSON object. It may be in the middle of being written.
 struct ConfigNotWhole : std::runtime_error {
     ConfigNotWhole(const std::string& why, int code) : std::runtime_error(why), exit_code(code) {}
     int exit_code;
@@ -70,7 +71,7 @@
     }
 
   private:
-    // What fails for a moment, the system's tables or the file, is tried again for a while.
+    // Retries for a limited time after errors that may pass: of the system or an incomplete file.
     void start() {
         if (stopping_) return loop_.stop();
         try {
@@ -107,8 +108,8 @@
         loop_.after(counts_period, [this] { count(); });
     }
 
-    // The file may be half written when the signal comes: it is read again until it is whole, for a
-    // while, or until the next signal. The old configuration serves meanwhile.
+    // The file may be incomplete when the signal arrives, so loading is retried until it succeeds,
+    // `reload_most` has passed or the next signal arrives. The current configuration stays in use.
     void reload() {
         if (!node_) return;
         reload_until_ = loop_.now() + reload_most;
@@ -132,7 +133,7 @@
 
     void stop() {
         stopping_ = true;
-        if (!node_) return;  // before it is ready: the next try ends it
+        if (!node_) return;  // not ready yet: the next start() stops the loop
         const Micros most = std::min(longest_, deadline_counted) + killed_after - kill_margin;
         node_->drain(notice, most, [this] { loop_.stop(); });
     }
@@ -157,7 +158,8 @@
         return Exit::bad_usage;
     }
     signal(SIGPIPE, SIG_IGN);
-    // One arena, and pieces given back early: memory is limited and the process is one thread.
+    // Memory is limited and the process has one thread: use one arena and return freed memory
+    // early.
     mallopt(M_ARENA_MAX, 1);
     mallopt(M_TRIM_THRESHOLD, 256 * 1024);
     mallopt(M_MMAP_THRESHOLD, 256 * 1024);
--- a/src/cli/node_program.h
+++ b/src/cli/node_program.h
@@ -1,9 +1,10 @@
-// `silverreach node` as a process: its start, its signals and its end.
+// The process of `silverreach node`: start, signals and exit.
 #pragma once
 
 namespace silverreach::cli {
 
-// Returns the exit code.
+// Runs the gateway that the file in NODE_CONFIG describes until a signal ends it. Returns the exit
+// code.
 int run_node();
 
 }  // namespace silverreach::cli
