--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -21,32 +21,32 @@
 namespace silverreach::cli {
 namespace {
 using namespace std::chrono_literals;
-constexpr Micros drain_most = 5s, counts_period = 10s;
+constexpr Micros max_drain_time = 5s, counts_period = 10s;
 
 std::optional<std::string> read_or_stdin(const std::string& path) {
     if (path != "-") return read_file(path);
     return std::string(std::istreambuf_iterator<char>(std::cin), {});
 }
 void print(const std::vector<openapi::Problem>& problems) {
-    for (const auto& p : problems)
-        std::cerr << openapi::to_string(p) << "\n";
+    for (const auto& problem : problems)
+        std::cerr << openapi::to_string(problem) << "\n";
     if (problems.size() > 1) std::cerr << problems.size() << " problems\n";
 }
 
-struct Loaded {
+struct LoadedConfig {
     std::unique_ptr<config::Config> config;
-    int code = Exit::done;
+    int exit_code = Exit::success;
 };
-Loaded load_config(const std::string& path) {
+LoadedConfig load_config(const std::string& path) {
     const auto text = read_or_stdin(path);
     if (!text) {
         std::cerr << path << ": cannot be read\n";
-        return {nullptr, Exit::system_refused};
+        return {nullptr, Exit::system_error};
     }
     std::vector<openapi::Problem> problems;
     auto config = config::parse(*text, path, problems);
     print(problems);
-    return {std::move(config), problems.empty() ? Exit::done : Exit::bad_answer};
+    return {std::move(config), problems.empty() ? Exit::success : Exit::check_failed};
 }
 
 // Raises the soft limit on descriptors to the hard limit, because each client and host needs one.
@@ -61,24 +61,24 @@
 // after.
 std::unique_ptr<Instance> start_instance(event::Loop& loop, const config::Config& config,
                                          const std::string& folder, log::Log& log) {
-    const Micros until = event::Loop::clock() + start_most;
-    bool told = false;
+    const Micros deadline = event::Loop::clock() + max_start_time;
+    bool delay_logged = false;
     while (true) {
         try {
             return std::make_unique<Instance>(loop, config, folder, log);
         } catch (const event::SystemError& error) {
-            if (event::Loop::clock() >= until) throw;
-            if (!std::exchange(told, true))
+            if (event::Loop::clock() >= deadline) throw;
+            if (!std::exchange(delay_logged, true))
                 log.write(log::Level::warning, "start_delayed",
                           {{"why", std::string(error.what())}});
         }
-        std::this_thread::sleep_for(start_again);
+        std::this_thread::sleep_for(start_retry_interval);
     }
 }
 
 int serve(const std::string& path) {
-    Loaded loaded = load_config(path);
-    if (!loaded.config) return loaded.code;
+    LoadedConfig loaded = load_config(path);
+    if (!loaded.config) return loaded.exit_code;
     const config::Config& config = *loaded.config;
     raise_descriptor_limit();
     signal(SIGPIPE, SIG_IGN);
@@ -86,48 +86,50 @@
         log::Log log(static_cast<log::Format>(config.log().form()),
                      static_cast<log::Level>(config.log().level()), config.log().file());
         event::Loop loop;
-        const auto started = start_instance(loop, config, folder_of(path), log);
-        Instance& instance = *started;
+        const auto instance_owner = start_instance(loop, config, folder_of(path), log);
+        Instance& instance = *instance_owner;
         log.write(log::Level::warning, "listening",
                   {{"port", static_cast<std::int64_t>(instance.port())},
                    {"rank", static_cast<std::int64_t>(config.peers().rank())}});
         std::cout << "listening on port " << instance.port() << std::endl;
-        const auto stop = [&] { instance.drain(drain_most, [&] { loop.stop(); }); };
-        event::Signal term(loop, SIGTERM, stop), interrupt(loop, SIGINT, stop);
-        event::Signal hup(loop, SIGHUP, [&] { instance.reload(); });
-        std::function<void()> counts = [&] {
+        const auto stop = [&] { instance.drain(max_drain_time, [&] { loop.stop(); }); };
+        event::Signal sigterm(loop, SIGTERM, stop), sigint(loop, SIGINT, stop);
+        event::Signal sighup(loop, SIGHUP, [&] { instance.reload(); });
+        std::function<void()> log_counts_periodically = [&] {
             instance.log_counts();
-            loop.after(counts_period, counts);
+            loop.after(counts_period, log_counts_periodically);
         };
-        loop.after(counts_period, counts);
+        loop.after(counts_period, log_counts_periodically);
         loop.run();
         instance.log_counts();
         log.write(log::Level::warning, "stopped", {});
     } catch (const std::exception& error) {
         std::cerr << error.what() << "\n";
-        return Exit::system_refused;
+        return Exit::system_error;
     }
-    return Exit::done;
+    return Exit::success;
 }
 
 int check(const std::string& path) {
-    Loaded loaded = load_config(path);
-    if (!loaded.config) return loaded.code;
-    const std::string& name = loaded.config->api().description();
-    const std::string file = name.starts_with('/') ? name : folder_of(path) + "/" + name;
-    const auto text = read_file(file);
+    LoadedConfig loaded = load_config(path);
+    if (!loaded.config) return loaded.exit_code;
+    const std::string& configured_path = loaded.config->api().description();
+    const std::string description_path = configured_path.starts_with('/')
+                                             ? configured_path
+                                             : folder_of(path) + "/" + configured_path;
+    const auto text = read_file(description_path);
     if (!text) {
-        std::cerr << file << ": cannot be read\n";
-        return Exit::system_refused;
+        std::cerr << description_path << ": cannot be read\n";
+        return Exit::system_error;
     }
     std::vector<openapi::Problem> problems;
     const auto description =
-        openapi::load(*text, file, config::policy_of(*loaded.config), problems);
+        openapi::load(*text, description_path, config::policy_of(*loaded.config), problems);
     print(problems);
-    if (!description) return Exit::bad_answer;
-    std::cout << fmt::format("{}: good; {}: good, {} routes\n", path, file,
+    if (!description) return Exit::check_failed;
+    std::cout << fmt::format("{}: good; {}: good, {} routes\n", path, description_path,
                              description->table.routes().size());
-    return Exit::done;
+    return Exit::success;
 }
 
 int routes(const std::string& path, const std::string& config_path) {
@@ -135,19 +137,19 @@
     policy.reject_unpriced = false;
     policy.default_class = "default";
     if (!config_path.empty()) {
-        Loaded loaded = load_config(config_path);
-        if (!loaded.config) return loaded.code;
+        LoadedConfig loaded = load_config(config_path);
+        if (!loaded.config) return loaded.exit_code;
         policy = config::policy_of(*loaded.config);
     }
     const auto text = read_or_stdin(path);
     if (!text) {
         std::cerr << path << ": cannot be read\n";
-        return Exit::system_refused;
+        return Exit::system_error;
     }
     std::vector<openapi::Problem> problems;
     const auto description = openapi::load(*text, path, policy, problems);
     print(problems);
-    if (!description) return Exit::bad_answer;
+    if (!description) return Exit::check_failed;
     std::cout << openapi::table_text(*description);
     if (config_path.empty())
         std::cout << "Without a configuration: class 'default' and 1 unit where none is given.\n";
@@ -157,7 +159,7 @@
         std::cout << fmt::format(
             "A route without class or cost counts as class '{}', {:g} units.\n",
             policy.default_class, policy.default_units);
-    return Exit::done;
+    return Exit::success;
 }
 }  // namespace
 
@@ -168,45 +170,47 @@
     app.footer(
         "Exit codes: 0 done; 1 a bad file or a broken rule; 2 wrong usage; 3 the system refused "
         "something.");
-    int code = Exit::done;
+    int exit_code = Exit::success;
     std::string path, config_path;
 
-    auto* serving =
+    auto* serve_command =
         app.add_subcommand("serve",
                            "Run one instance. SIGHUP reads the description again; SIGTERM and "
                            "SIGINT end it after what is in hand");
-    serving->add_option("--config", path, "Configuration, protobuf text format")->required();
-    serving->callback([&] { code = serve(path); });
+    serve_command->add_option("--config", path, "Configuration, protobuf text format")->required();
+    serve_command->callback([&] { exit_code = serve(path); });
 
-    auto* noding = app.add_subcommand(
+    auto* node_command = app.add_subcommand(
         "node",
         "Run one instance on the operators' platform, configured by NODE_CONFIG. SIGHUP follows "
         "another discovery; SIGTERM ends it after what is in hand");
-    noding->callback([&] { code = run_node(); });
+    node_command->callback([&] { exit_code = run_node(); });
 
-    auto* checking = app.add_subcommand(
+    auto* check_command = app.add_subcommand(
         "check", "Check a configuration and its description; all errors at once");
-    checking->add_option("--config", path, "Configuration; - for standard input")->required();
-    checking->callback([&] { code = check(path); });
+    check_command->add_option("--config", path, "Configuration; - for standard input")->required();
+    check_command->callback([&] { exit_code = check(path); });
 
-    auto* listing =
+    auto* routes_command =
         app.add_subcommand("routes", "Show a description's routes as the gateway understands them");
-    listing->add_option("FILE", path, "OpenAPI description; - for standard input")->required();
-    listing->add_option("--config", config_path, "Classes and policy from this configuration");
-    listing->callback([&] { code = routes(path, config_path); });
+    routes_command->add_option("FILE", path, "OpenAPI description; - for standard input")
+        ->required();
+    routes_command->add_option("--config", config_path,
+                               "Classes and policy from this configuration");
+    routes_command->callback([&] { exit_code = routes(path, config_path); });
 
-    add_key_commands(app, code);
-    scenario::add_commands(app, code);
+    add_key_commands(app, exit_code);
+    scenario::add_commands(app, exit_code);
 
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
-        return app.exit(error) == 0 ? Exit::done : Exit::bad_usage;
+        return app.exit(error) == 0 ? Exit::success : Exit::usage_error;
     } catch (const std::exception& error) {
         std::cerr << error.what() << "\n";
-        return Exit::system_refused;
+        return Exit::system_error;
     }
-    return code;
+    return exit_code;
 }
 
 }  // namespace silverreach::cli
--- a/src/cli/files.cpp
+++ b/src/cli/files.cpp
@@ -19,10 +19,10 @@
     std::string text;
     std::array<char, 65536> buffer;
     while (true) {
-        const ssize_t n = ::read(fd, buffer.data(), buffer.size());
-        if (n == 0) return text;
-        if (n > 0)
-            text.append(buffer.data(), static_cast<std::size_t>(n));
+        const ssize_t bytes_read = ::read(fd, buffer.data(), buffer.size());
+        if (bytes_read == 0) return text;
+        if (bytes_read > 0)
+            text.append(buffer.data(), static_cast<std::size_t>(bytes_read));
         else if (errno != EINTR)
             return std::nullopt;
     }
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -33,39 +33,40 @@
     // logged and the current one stays in use. `done`, if set, receives whether the new one is in
     // use. A call during a reload gets false and starts another reload after it.
     void reload(std::function<void(bool)> done = {});
-    // Stops listening and calls `done` once the requests in flight have ended, after `most` at the
-    // latest.
-    void drain(Micros most, std::function<void()> done);
+    // Stops listening and calls `done` once the requests in flight have ended, after `timeout` at
+    // the latest.
+    void drain(Micros timeout, std::function<void()> done);
     void log_counts();
 
   private:
     // ---- core::Environment ----
-    void start_timer(Micros from_now, core::Timer timer) override;
-    void send_attempt(const core::AttemptKey& key, const std::string& host, Micros within) override;
+    void start_timer(Micros delay, core::Timer timer) override;
+    void send_attempt(const core::AttemptKey& key, const std::string& host,
+                      Micros timeout) override;
     void cancel_attempt(const core::AttemptKey& key) override;
     bool withdraw_attempt(const core::AttemptKey& key) override;
     void start_health_check(const std::string& host) override;
     void send_message(int rank, const std::string& bytes) override;
-    void finish_request(RequestId id, const core::FinalResponse& answer) override;
+    void finish_request(RequestId id, const core::FinalResponse& response) override;
     void abort_response(RequestId id) override;
     // ---- upstream_http::AttemptCallbacks ----
     bool begin_send(const core::AttemptKey& key) override;
-    bool on_response_started(const core::AttemptKey& key, const std::string& host, Micros took,
+    bool on_response_started(const core::AttemptKey& key, const std::string& host, Micros elapsed,
                              const LoadReport& report, http::Head& head) override;
     void on_response_body(const core::AttemptKey& key, std::string_view bytes) override;
-    void on_response_ended(const core::AttemptKey& key, bool whole,
+    void on_response_ended(const core::AttemptKey& key, bool complete,
                            const http::Fields& trailers) override;
     void on_attempt_ended(const core::AttemptKey& key, const std::string& host, Outcome outcome,
-                          Micros took, const LoadReport& report, int status) override;
+                          Micros elapsed, const LoadReport& report, int status) override;
     void on_health_check_ended(HealthCheckEnded ended) override;
 
     std::shared_ptr<const openapi::Description> read_description(
         std::vector<openapi::Problem>& problems) const;
-    bool take_description(std::shared_ptr<const openapi::Description> fresh,
-                          const std::vector<openapi::Problem>& problems);
+    bool apply_description(std::shared_ptr<const openapi::Description> new_description,
+                           const std::vector<openapi::Problem>& problems);
     void log_access(const frontend::http::AccessLogEntry& entry);
-    void hosts_changed(std::vector<EndpointEntry> hosts);
-    void wait_for_drain(Micros until, std::function<void()> done);
+    void on_hosts_changed(std::vector<EndpointEntry> hosts);
+    void wait_for_drain(Micros deadline, std::function<void()> done);
 
     event::Loop& loop_;
     const config::Config& config_;
@@ -76,7 +77,7 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     event::TimerWheel timers_;
     event::BackgroundTask background_;
-    bool reload_again_ = false;
+    bool reload_pending_ = false;
     std::unique_ptr<core::RequestCoordinator> core_;
     std::unique_ptr<upstream_http::Upstream> upstream_;
     std::unique_ptr<peers::EnvelopeTransport> peers_;
--- a/src/cli/keys.cpp
+++ b/src/cli/keys.cpp
@@ -16,39 +16,40 @@
 using namespace accounts;
 
 struct Options {
-    std::string folder, account, plan, successor, id, into, cause = "asked";
-    double start_s = 0, valid_s = 0, overlap_s = 86400, after_s = 0;
-    bool dry = false, make = false;
+    std::string registry_folder, account, plan, successor, id, merge_target, cause = "asked";
+    double start_delay_s = 0, validity_s = 0, overlap_s = 86400, revocation_delay_s = 0;
+    bool dry_run = false, create_registry = false;
 };
 
 using registry::wall_clock_now;
 
-UnixTime of_seconds(double seconds) {
+UnixTime unix_time_from_seconds(double seconds) {
     return UnixTime(static_cast<std::int64_t>(seconds * 1000));
 }
 std::string time_text(UnixTime time) {
     if (time == never) return "never";
     const std::time_t seconds = time.count() / 1000;
-    std::tm t{};
-    gmtime_r(&seconds, &t);
+    std::tm utc{};
+    gmtime_r(&seconds, &utc);
     std::array<char, 32> text{};
-    std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%SZ", &t);
+    std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%SZ", &utc);
     return text.data();
 }
 
-int guarded(const std::function<int()>& body) {
+int run_reporting_errors(const std::function<int()>& command) {
     try {
-        return body();
+        return command();
     } catch (const std::exception& error) {
         std::cerr << error.what() << "\n";
-        return Exit::system_refused;
+        return Exit::system_error;
     }
 }
 
 // Commits the operation; with --dry-run only checks it. Returns the error; empty on success.
-std::string commit_or_check(const Options& o, registry::Store& store, const Operation& operation) {
+std::string commit_or_check(const Options& options, registry::Store& store,
+                            const Operation& operation) {
     const UnixTime at = wall_clock_now();
-    if (!o.dry) {
+    if (!options.dry_run) {
         const auto error = store.commit(operation, at);
         return error ? error->message : "";
     }
@@ -56,67 +57,73 @@
     return error ? error->message : "";
 }
 
-int change(const Options& o, const Operation& operation, const std::string& said) {
-    return guarded([&]() -> int {
+int apply_change(const Options& options, const Operation& operation, const std::string& summary) {
+    return run_reporting_errors([&]() -> int {
         registry::Disk disk;
-        registry::Store store(o.folder,
-                              o.dry ? registry::Store::Mode::read : registry::Store::Mode::write,
-                              o.make && !o.dry, disk);
-        const std::string why = commit_or_check(o, store, operation);
-        if (!why.empty()) {
-            std::cerr << why << "\n";
-            return Exit::bad_answer;
+        registry::Store store(
+            options.registry_folder,
+            options.dry_run ? registry::Store::Mode::read : registry::Store::Mode::write,
+            options.create_registry && !options.dry_run, disk);
+        const std::string error = commit_or_check(options, store, operation);
+        if (!error.empty()) {
+            std::cerr << error << "\n";
+            return Exit::check_failed;
         }
-        std::cout << (o.dry ? "would do: " : "") << said
-                  << fmt::format(" (version {})\n", store.registry().version() + (o.dry ? 1 : 0));
-        return Exit::done;
+        std::cout << (options.dry_run ? "would do: " : "") << summary
+                  << fmt::format(" (version {})\n",
+                                 store.registry().version() + (options.dry_run ? 1 : 0));
+        return Exit::success;
     });
 }
 
 // Makes a key and commits the operation that adds it. The key's text is printed once, after the
 // operation is durable, and is not stored.
-int with_new_key(
-    const Options& o,
+int apply_with_new_key(
+    const Options& options,
     const std::function<Operation(const std::string& id, const KeyHash&)>& operation_of,
-    const std::string& what) {
-    return guarded([&]() -> int {
+    const std::string& summary) {
+    return run_reporting_errors([&]() -> int {
         registry::Disk disk;
-        registry::Store store(o.folder,
-                              o.dry ? registry::Store::Mode::read : registry::Store::Mode::write,
-                              false, disk);
+        registry::Store store(
+            options.registry_folder,
+            options.dry_run ? registry::Store::Mode::read : registry::Store::Mode::write, false,
+            disk);
         const std::string text = make_key(registry::random_bytes());
         const std::string id(parse_key(text).id);
         const Operation operation = operation_of(id, hash_key(store.registry().pepper(), text));
-        const std::string why = commit_or_check(o, store, operation);
-        if (!why.empty()) {
-            std::cerr << why << "\n";
-            return Exit::bad_answer;
+        const std::string error = commit_or_check(options, store, operation);
+        if (!error.empty()) {
+            std::cerr << error << "\n";
+            return Exit::check_failed;
         }
-        if (o.dry)
-            std::cout << "would do: " << what << "\n";
+        if (options.dry_run)
+            std::cout << "would do: " << summary << "\n";
         else
-            std::cout << what << ": key " << id << ", shown this once:\n" << text << "\n";
-        return Exit::done;
+            std::cout << summary << ": key " << id << ", shown this once:\n" << text << "\n";
+        return Exit::success;
     });
 }
 
-int list(const Options& o) {
-    return guarded([&]() -> int {
+int list_accounts(const Options& options) {
+    return run_reporting_errors([&]() -> int {
         registry::Disk disk;
-        registry::Store store(o.folder, registry::Store::Mode::read, false, disk);
-        const Registry& r = store.registry();
-        std::cout << fmt::format("version {}, {} plans, {} accounts, {} keys\n", r.version(),
-                                 r.plans().size(), r.accounts().size(), r.keys().size());
-        const std::map<std::string, Account> sorted(r.accounts().begin(), r.accounts().end());
-        for (const auto& [name, a] : sorted) {
-            if (!o.account.empty() && name != o.account) continue;
-            std::cout << fmt::format(
-                "{}  plan {}{}\n", name, a.plan,
-                a.merged_into.empty() ? "" : "  counts for " + r.resolve_merges(name));
-            std::map<std::string, const Key*> ordered;
-            for (const auto& [id, key] : r.keys())
-                if (key.account == name) ordered[id] = &key;
-            for (const auto& [id, key] : ordered)
+        registry::Store store(options.registry_folder, registry::Store::Mode::read, false, disk);
+        const Registry& loaded_registry = store.registry();
+        std::cout << fmt::format("version {}, {} plans, {} accounts, {} keys\n",
+                                 loaded_registry.version(), loaded_registry.plans().size(),
+                                 loaded_registry.accounts().size(), loaded_registry.keys().size());
+        const std::map<std::string, Account> accounts_by_name(loaded_registry.accounts().begin(),
+                                                              loaded_registry.accounts().end());
+        for (const auto& [name, account] : accounts_by_name) {
+            if (!options.account.empty() && name != options.account) continue;
+            std::cout << fmt::format("{}  plan {}{}\n", name, account.plan,
+                                     account.merged_into.empty()
+                                         ? ""
+                                         : "  counts for " + loaded_registry.resolve_merges(name));
+            std::map<std::string, const Key*> keys_by_id;
+            for (const auto& [id, key] : loaded_registry.keys())
+                if (key.account == name) keys_by_id[id] = &key;
+            for (const auto& [id, key] : keys_by_id)
                 std::cout << fmt::format(
                     "  {}  from {}  until {}{}{}\n", id, time_text(key->valid_from),
                     time_text(key->valid_until),
@@ -125,14 +132,14 @@
                         : fmt::format("  revoked: {}", to_string(key->cause)),
                     key->successor.empty() ? "" : "  followed by " + key->successor);
         }
-        return Exit::done;
+        return Exit::success;
     });
 }
 
-int show(const Options& o) {
-    return guarded([&]() -> int {
+int show_key(const Options& options) {
+    return run_reporting_errors([&]() -> int {
         registry::Disk disk;
-        registry::Store store(o.folder, registry::Store::Mode::read, false, disk);
+        registry::Store store(options.registry_folder, registry::Store::Mode::read, false, disk);
         std::string text;
         std::getline(std::cin, text);
         const KeyLookup found = store.registry().look_up(text, wall_clock_now());
@@ -141,103 +148,124 @@
             std::cout << fmt::format("  key {}  account {}  plan {}", found.key_id, found.account,
                                      found.plan);
         std::cout << "\n";
-        return found.status == KeyStatus::valid ? Exit::done : Exit::bad_answer;
+        return found.status == KeyStatus::valid ? Exit::success : Exit::check_failed;
     });
 }
 }  // namespace
 
-void add_key_commands(CLI::App& app, int& code) {
-    auto o = std::make_shared<Options>();
-    auto* keys = app.add_subcommand("keys", "Accounts, plans and keys: a registry in a folder");
-    keys->require_subcommand(1);
-    const auto command = [&](const char* name, const char* what, bool changes) {
-        auto* c = keys->add_subcommand(name, what);
-        c->add_option("--registry", o->folder, "The registry's folder")->required();
-        if (changes) c->add_flag("--dry-run", o->dry, "Say what would be done, change nothing");
-        return c;
+void add_key_commands(CLI::App& app, int& exit_code) {
+    auto options = std::make_shared<Options>();
+    auto* keys_command =
+        app.add_subcommand("keys", "Accounts, plans and keys: a registry in a folder");
+    keys_command->require_subcommand(1);
+    const auto add_command = [&](const char* name, const char* description, bool can_change) {
+        auto* subcommand = keys_command->add_subcommand(name, description);
+        subcommand->add_option("--registry", options->registry_folder, "The registry's folder")
+            ->required();
+        if (can_change)
+            subcommand->add_flag("--dry-run", options->dry_run,
+                                 "Say what would be done, change nothing");
+        return subcommand;
     };
-    auto* plan = command("plan", "Add a plan; the first makes the registry with --make", true);
-    plan->add_option("NAME", o->plan)->required();
-    plan->add_flag("--make", o->make, "Make the folder where there is none");
-    plan->callback(
-        [o, &code] { code = change(*o, AddPlan{o->plan}, "plan " + o->plan + " added"); });
-
-    auto* drop = command("drop-plan", "Remove a plan; its accounts go over to another", true);
-    drop->add_option("NAME", o->plan)->required();
-    drop->add_option("--to", o->successor, "The plan that its accounts go over to");
-    drop->callback([o, &code] {
-        code = change(*o, RemovePlan{o->plan, o->successor}, "plan " + o->plan + " removed");
+    auto* plan_command =
+        add_command("plan", "Add a plan; the first makes the registry with --make", true);
+    plan_command->add_option("NAME", options->plan)->required();
+    plan_command->add_flag("--make", options->create_registry,
+                           "Make the folder where there is none");
+    plan_command->callback([options, &exit_code] {
+        exit_code =
+            apply_change(*options, AddPlan{options->plan}, "plan " + options->plan + " added");
     });
 
-    auto* account = command("account", "Add an account, or move it to another plan", true);
-    account->add_option("NAME", o->account)->required();
-    account->add_option("--plan", o->plan)->required();
-    account->callback([o, &code] {
-        code = change(*o, PutAccount{o->account, o->plan},
-                      "account " + o->account + " on plan " + o->plan);
+    auto* drop_plan_command =
+        add_command("drop-plan", "Remove a plan; its accounts go over to another", true);
+    drop_plan_command->add_option("NAME", options->plan)->required();
+    drop_plan_command->add_option("--to", options->successor,
+                                  "The plan that its accounts go over to");
+    drop_plan_command->callback([options, &exit_code] {
+        exit_code = apply_change(*options, RemovePlan{options->plan, options->successor},
+                                 "plan " + options->plan + " removed");
     });
 
-    auto* merge =
-        command("merge", "Count one account's keys and use for another from now on", true);
-    merge->add_option("FROM", o->account)->required();
-    merge->add_option("INTO", o->into)->required();
-    merge->callback([o, &code] {
-        code =
-            change(*o, MergeAccounts{o->account, o->into}, o->account + " counts for " + o->into);
+    auto* account_command =
+        add_command("account", "Add an account, or move it to another plan", true);
+    account_command->add_option("NAME", options->account)->required();
+    account_command->add_option("--plan", options->plan)->required();
+    account_command->callback([options, &exit_code] {
+        exit_code = apply_change(*options, PutAccount{options->account, options->plan},
+                                 "account " + options->account + " on plan " + options->plan);
     });
 
-    auto* issue = command("issue", "Make a key for an account; its text is shown once", true);
-    issue->add_option("ACCOUNT", o->account)->required();
-    issue->add_option("--starts-in-s", o->start_s, "Seconds until it is served")
+    auto* merge_command =
+        add_command("merge", "Count one account's keys and use for another from now on", true);
+    merge_command->add_option("FROM", options->account)->required();
+    merge_command->add_option("INTO", options->merge_target)->required();
+    merge_command->callback([options, &exit_code] {
+        exit_code = apply_change(*options, MergeAccounts{options->account, options->merge_target},
+                                 options->account + " counts for " + options->merge_target);
+    });
+
+    auto* issue_command =
+        add_command("issue", "Make a key for an account; its text is shown once", true);
+    issue_command->add_option("ACCOUNT", options->account)->required();
+    issue_command->add_option("--starts-in-s", options->start_delay_s, "Seconds until it is served")
         ->check(CLI::NonNegativeNumber);
-    issue->add_option("--valid-s", o->valid_s, "Seconds that it is served; 0: without end")
+    issue_command
+        ->add_option("--valid-s", options->validity_s, "Seconds that it is served; 0: without end")
         ->check(CLI::NonNegativeNumber);
-    issue->callback([o, &code] {
-        code = with_new_key(
-            *o,
-            [o](const std::string& id, const KeyHash& hash) {
-                const UnixTime start = wall_clock_now() + of_seconds(o->start_s);
-                return Operation(IssueKey{id, o->account, hash, start,
-                                          o->valid_s > 0 ? start + of_seconds(o->valid_s) : never});
+    issue_command->callback([options, &exit_code] {
+        exit_code = apply_with_new_key(
+            *options,
+            [options](const std::string& id, const KeyHash& hash) {
+                const UnixTime start =
+                    wall_clock_now() + unix_time_from_seconds(options->start_delay_s);
+                return Operation(IssueKey{id, options->account, hash, start,
+                                          options->validity_s > 0
+                                              ? start + unix_time_from_seconds(options->validity_s)
+                                              : never});
             },
-            "issued for " + o->account);
+            "issued for " + options->account);
     });
 
-    auto* rotate = command(
+    auto* rotate_command = add_command(
         "rotate", "Make a key that follows another; both work until the overlap ends", true);
-    rotate->add_option("ID", o->id)->required();
-    rotate->add_option("--overlap-s", o->overlap_s, "Seconds; a day by default")
+    rotate_command->add_option("ID", options->id)->required();
+    rotate_command->add_option("--overlap-s", options->overlap_s, "Seconds; a day by default")
         ->check(CLI::NonNegativeNumber);
-    rotate->callback([o, &code] {
-        code = with_new_key(
-            *o,
-            [o](const std::string& id, const KeyHash& hash) {
-                return Operation(RotateKey{o->id, id, hash, of_seconds(o->overlap_s)});
+    rotate_command->callback([options, &exit_code] {
+        exit_code = apply_with_new_key(
+            *options,
+            [options](const std::string& id, const KeyHash& hash) {
+                return Operation(
+                    RotateKey{options->id, id, hash, unix_time_from_seconds(options->overlap_s)});
             },
-            "rotated " + o->id);
+            "rotated " + options->id);
     });
 
-    auto* revoke = command("revoke", "End a key", true);
-    revoke->add_option("ID", o->id)->required();
-    revoke->add_option("--cause", o->cause, "asked, leaked or closed")
+    auto* revoke_command = add_command("revoke", "End a key", true);
+    revoke_command->add_option("ID", options->id)->required();
+    revoke_command->add_option("--cause", options->cause, "asked, leaked or closed")
         ->check(CLI::IsMember({"asked", "leaked", "closed"}));
-    revoke->add_option("--after-s", o->after_s, "Seconds until it ends; 0: now")
+    revoke_command
+        ->add_option("--after-s", options->revocation_delay_s, "Seconds until it ends; 0: now")
         ->check(CLI::NonNegativeNumber);
-    revoke->callback([o, &code] {
-        code = change(*o,
-                      RevokeKey{o->id, wall_clock_now() + of_seconds(o->after_s),
-                                *parse_revocation_cause(o->cause)},
-                      "key " + o->id + " revoked");
+    revoke_command->callback([options, &exit_code] {
+        exit_code = apply_change(
+            *options,
+            RevokeKey{options->id,
+                      wall_clock_now() + unix_time_from_seconds(options->revocation_delay_s),
+                      *parse_revocation_cause(options->cause)},
+            "key " + options->id + " revoked");
     });
 
-    auto* listing =
-        command("list", "Accounts and their keys, by id; no text of a key is kept", false);
-    listing->add_option("--account", o->account, "This one alone");
-    listing->callback([o, &code] { code = list(*o); });
+    auto* list_command =
+        add_command("list", "Accounts and their keys, by id; no text of a key is kept", false);
+    list_command->add_option("--account", options->account, "This one alone");
+    list_command->callback([options, &exit_code] { exit_code = list_accounts(*options); });
 
-    auto* showing =
-        command("show", "What a key is worth now; its text comes from standard input", false);
-    showing->callback([o, &code] { code = show(*o); });
+    auto* show_command =
+        add_command("show", "What a key is worth now; its text comes from standard input", false);
+    show_command->callback([options, &exit_code] { exit_code = show_key(*options); });
 }
 
 }  // namespace silverreach::cli
--- a/src/cli/keys.h
+++ b/src/cli/keys.h
@@ -7,7 +7,7 @@
 
 namespace silverreach::cli {
 
-// Adds them to `app`; each stores its exit code in `code`.
-void add_key_commands(CLI::App& app, int& code);
+// Adds them to `app`; each stores its exit code in `exit_code`.
+void add_key_commands(CLI::App& app, int& exit_code);
 
 }  // namespace silverreach::cli
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -28,39 +28,40 @@
 
     int port() const { return frontend_->port(); }
     // Follows the discovery service of a new configuration. Other changes need a restart.
-    void reload(const platform::NodeConfig& fresh);
+    void reload(const platform::NodeConfig& new_config);
     // Continues to serve for `notice`, in which clients may still connect, then stops listening and
     // calls `done` once every connection has ended. Requests on open connections are answered if
-    // they are received within `most` from now. Further calls have no effect.
-    void drain(Micros notice, Micros most, std::function<void()> done);
+    // they are received within `request_window` from now. Further calls have no effect.
+    void drain(Micros notice, Micros request_window, std::function<void()> done);
     void log_counts();
-    log::Fields limits() const;  // of the configuration, for the log
+    log::Fields limit_fields() const;  // of the configuration, for the log
 
   private:
     // ---- core::Environment ----
-    void start_timer(Micros from_now, core::Timer timer) override;
-    void send_attempt(const core::AttemptKey& key, const std::string& host, Micros within) override;
+    void start_timer(Micros delay, core::Timer timer) override;
+    void send_attempt(const core::AttemptKey& key, const std::string& host,
+                      Micros timeout) override;
     void cancel_attempt(const core::AttemptKey& key) override;
     bool withdraw_attempt(const core::AttemptKey& key) override;
     void start_health_check(const std::string& host) override;
     void send_message(int rank, const std::string& bytes) override;
-    void finish_request(RequestId id, const core::FinalResponse& answer) override;
+    void finish_request(RequestId id, const core::FinalResponse& response) override;
     void abort_response(RequestId id) override;
     void on_attempt_blocked(const core::AttemptKey& key, const std::string& host,
-                            rules::BlockReason why) override;
+                            rules::BlockReason reason) override;
     // ---- upstream_resp::AttemptCallbacks ----
     std::optional<Micros> begin_send(const core::AttemptKey& key) override;
     void on_attempt_ended(const core::AttemptKey& key, const std::string& host, Micros elapsed,
                           upstream_resp::HostResponse response) override;
     void on_health_check_ended(HealthCheckEnded ended) override;
 
-    Micros now() const { return loop_.now() + offset_; }
-    void hosts_changed(const platform::TargetList& list);
+    Micros now() const { return loop_.now() + unix_offset_; }
+    void on_hosts_changed(const platform::TargetList& list);
     log::Fields traffic_fields() const;
     log::Fields close_fields() const;
     log::Fields rule_fields() const;
     // Logs an event of one request at level debug.
-    void trace(std::string_view event, RequestId id, log::Fields fields);
+    void log_request_event(std::string_view event, RequestId id, log::Fields fields);
     void wait_for_drain(std::function<void()> done);
 
     event::Loop& loop_;
@@ -69,7 +70,7 @@
     // Offset of the core's clock from the monotonic clock. The core's clock is Unix time at the
     // start of the process, advanced by the monotonic clock: hosts' start times are in Unix time,
     // and the core's clock must not go back.
-    const Micros offset_;
+    const Micros unix_offset_;
     platform::CommandValidator command_validator_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     event::TimerWheel timers_;
@@ -79,8 +80,8 @@
     std::unique_ptr<frontend::resp::Frontend> frontend_;
     std::unique_ptr<discovery::DiscoveryWatch> discovery_watch_;
     bool draining_ = false;
-    std::array<std::uint64_t, 7> refused_{};  // rejected requests, by RejectReason
-    std::array<std::uint64_t, 8> ended_{};    // attempts that ended, by Outcome
+    std::array<std::uint64_t, 7> rejections_{};      // rejected requests, by RejectReason
+    std::array<std::uint64_t, 8> ended_attempts_{};  // attempts that ended, by Outcome
 };
 
 }  // namespace silverreach::cli
--- a/src/cli/node_program.cpp
+++ b/src/cli/node_program.cpp
@@ -19,14 +19,14 @@
 namespace {
 using namespace std::chrono_literals;
 constexpr Micros counts_period = 10s;
-constexpr Micros notice = 500ms;  // time for clients to learn that this instance stops
+constexpr Micros drain_notice = 500ms;  // time for clients to learn that this instance stops
 // The platform sends SIGKILL this long after SIGTERM, plus the longest request deadline, of which
-// it counts no more than `deadline_counted`.
-constexpr Micros killed_after = 700ms, deadline_counted = 3s;
-constexpr Micros kill_margin = 100ms;     // time before SIGKILL for sending the last responses
-constexpr Micros start_config_most = 3s;  // retry time for an unreadable or incomplete file
-constexpr Micros reload_again = 100ms;    // between attempts to load a new configuration
-constexpr Micros reload_most = 10s;
+// it counts no more than `max_counted_deadline`.
+constexpr Micros kill_grace = 700ms, max_counted_deadline = 3s;
+constexpr Micros kill_margin = 100ms;   // time before SIGKILL for sending the last responses
+constexpr Micros max_config_wait = 3s;  // retry time for an unreadable or incomplete file
+constexpr Micros reload_retry_interval = 100ms;  // between attempts to load a new configuration
+constexpr Micros max_reload_time = 10s;
 
 // SILVERREACH_LOG=debug logs every request, attempt and closed connection.
 log::Level log_level() {
@@ -35,15 +35,17 @@
 }
 
 // The file cannot be read or is not one JSON object. It may be in the middle of being written.
-struct ConfigNotWhole : std::runtime_error {
-    ConfigNotWhole(const std::string& why, int code) : std::runtime_error(why), exit_code(code) {}
+struct IncompleteConfig : std::runtime_error {
+    IncompleteConfig(const std::string& reason, int code)
+        : std::runtime_error(reason), exit_code(code) {}
     int exit_code;
 };
-platform::NodeConfig load(const std::string& path) {
+platform::NodeConfig load_config(const std::string& path) {
     const auto text = read_file(path);
-    if (!text) throw ConfigNotWhole(path + ": cannot be read", Exit::system_refused);
+    if (!text) throw IncompleteConfig(path + ": cannot be read", Exit::system_error);
     if (!platform::is_object(*text))
-        throw ConfigNotWhole(path + ": configuration: expected one JSON object", Exit::bad_answer);
+        throw IncompleteConfig(path + ": configuration: expected one JSON object",
+                               Exit::check_failed);
     try {
         return platform::read_config(*text, [](const char* name) { return getenv(name); });
     } catch (const std::invalid_argument& error) {
@@ -54,14 +56,14 @@
 class NodeProgram {
   public:
     explicit NodeProgram(std::string path)
-        : path_(std::move(path)),
+        : config_path_(std::move(path)),
           log_(log::Format::readable, log_level(), ""),
-          hup_(loop_, SIGHUP, [this] { reload(); }),
-          term_(loop_, SIGTERM, [this] { stop(); }),
-          interrupt_(loop_, SIGINT, [this] { stop(); }) {}
+          sighup_(loop_, SIGHUP, [this] { reload(); }),
+          sigterm_(loop_, SIGTERM, [this] { stop(); }),
+          sigint_(loop_, SIGINT, [this] { stop(); }) {}
 
     int run() {
-        start_began_ = event::Loop::clock();
+        started_at_ = event::Loop::clock();
         loop_.after(0us, [this] { start(); });
         loop_.run();
         if (!node_) return exit_code_;
@@ -75,79 +77,81 @@
     void start() {
         if (stopping_) return loop_.stop();
         try {
-            platform::NodeConfig config = load(path_);
-            for (const RequestClass& c : config.settings.classes)
-                longest_ = std::max(longest_, c.deadline);
+            platform::NodeConfig config = load_config(config_path_);
+            for (const RequestClass& request_class : config.settings.classes)
+                longest_deadline_ = std::max(longest_deadline_, request_class.deadline);
             node_ = std::make_unique<Node>(loop_, std::move(config), log_);
-        } catch (const ConfigNotWhole& error) {
-            return start_later(error.what(), start_config_most, error.exit_code);
+        } catch (const IncompleteConfig& error) {
+            return retry_start(error.what(), max_config_wait, error.exit_code);
         } catch (const std::invalid_argument& error) {
-            return give_up(error.what(), Exit::bad_answer);
+            return fail(error.what(), Exit::check_failed);
         } catch (const event::SystemError& error) {
-            return start_later(error.what(), start_most, Exit::system_refused);
+            return retry_start(error.what(), max_start_time, Exit::system_error);
         } catch (const std::exception& error) {
-            return give_up(error.what(), Exit::system_refused);
+            return fail(error.what(), Exit::system_error);
         }
-        log_.write(log::Level::warning, "ready", node_->limits());
-        loop_.after(counts_period, [this] { count(); });
+        log_.write(log::Level::warning, "ready", node_->limit_fields());
+        loop_.after(counts_period, [this] { log_counts_periodically(); });
     }
-    void start_later(const std::string& why, Micros most, int code) {
-        if (event::Loop::clock() - start_began_ >= most) return give_up(why, code);
-        if (why != start_delayed_by_)
-            log_.write(log::Level::warning, "start_delayed", {{"why", why}});
-        start_delayed_by_ = why;
-        loop_.after(start_again, [this] { start(); });
+    void retry_start(const std::string& reason, Micros max_time, int exit_code) {
+        if (event::Loop::clock() - started_at_ >= max_time) return fail(reason, exit_code);
+        if (reason != start_delay_reason_)
+            log_.write(log::Level::warning, "start_delayed", {{"why", reason}});
+        start_delay_reason_ = reason;
+        loop_.after(start_retry_interval, [this] { start(); });
     }
-    void give_up(const std::string& why, int code) {
-        std::cerr << why << "\n";
-        exit_code_ = code;
+    void fail(const std::string& reason, int exit_code) {
+        std::cerr << reason << "\n";
+        exit_code_ = exit_code;
         loop_.stop();
     }
-    void count() {
+    void log_counts_periodically() {
         node_->log_counts();
-        loop_.after(counts_period, [this] { count(); });
+        loop_.after(counts_period, [this] { log_counts_periodically(); });
     }
 
     // The file may be incomplete when the signal arrives, so loading is retried until it succeeds,
-    // `reload_most` has passed or the next signal arrives. The current configuration stays in use.
+    // `max_reload_time` has passed or the next signal arrives. The current configuration stays in
+    // use.
     void reload() {
         if (!node_) return;
-        reload_until_ = loop_.now() + reload_most;
-        reload_told_ = false;
-        try_reload(++reload_turn_);
+        reload_deadline_ = loop_.now() + max_reload_time;
+        reload_failure_logged_ = false;
+        try_reload(++reload_generation_);
     }
-    void try_reload(std::uint64_t turn) {
-        if (turn != reload_turn_) return;
+    void try_reload(std::uint64_t generation) {
+        if (generation != reload_generation_) return;
         try {
-            return node_->reload(load(path_));
+            return node_->reload(load_config(config_path_));
         } catch (const std::exception& error) {
-            const bool last = loop_.now() >= reload_until_;
-            if (!std::exchange(reload_told_, true) || last)
-                log_.write(
-                    log::Level::error, "configuration_kept",
-                    {{"why", std::string(error.what())}, {"tried_again", std::int64_t{!last}}});
-            if (last) return;
+            const bool is_last_attempt = loop_.now() >= reload_deadline_;
+            if (!std::exchange(reload_failure_logged_, true) || is_last_attempt)
+                log_.write(log::Level::error, "configuration_kept",
+                           {{"why", std::string(error.what())},
+                            {"tried_again", std::int64_t{!is_last_attempt}}});
+            if (is_last_attempt) return;
         }
-        loop_.after(reload_again, [this, turn] { try_reload(turn); });
+        loop_.after(reload_retry_interval, [this, generation] { try_reload(generation); });
     }
 
     void stop() {
         stopping_ = true;
         if (!node_) return;  // not ready yet: the next start() stops the loop
-        const Micros most = std::min(longest_, deadline_counted) + killed_after - kill_margin;
-        node_->drain(notice, most, [this] { loop_.stop(); });
+        const Micros request_window =
+            std::min(longest_deadline_, max_counted_deadline) + kill_grace - kill_margin;
+        node_->drain(drain_notice, request_window, [this] { loop_.stop(); });
     }
 
-    const std::string path_;
+    const std::string config_path_;
     event::Loop loop_;
     log::Log log_;
     std::unique_ptr<Node> node_;
-    Micros longest_{0}, start_began_{0}, reload_until_{0};
-    std::string start_delayed_by_;
-    std::uint64_t reload_turn_ = 0;
-    bool stopping_ = false, reload_told_ = false;
-    int exit_code_ = Exit::done;
-    event::Signal hup_, term_, interrupt_;
+    Micros longest_deadline_{0}, started_at_{0}, reload_deadline_{0};
+    std::string start_delay_reason_;
+    std::uint64_t reload_generation_ = 0;
+    bool stopping_ = false, reload_failure_logged_ = false;
+    int exit_code_ = Exit::success;
+    event::Signal sighup_, sigterm_, sigint_;
 };
 }  // namespace
 
@@ -155,7 +159,7 @@
     const char* path = getenv("NODE_CONFIG");
     if (!path || !*path) {
         std::cerr << "NODE_CONFIG: expected the name of the configuration file\n";
-        return Exit::bad_usage;
+        return Exit::usage_error;
     }
     signal(SIGPIPE, SIG_IGN);
     // Memory is limited and the process has one thread: use one arena and return freed memory
@@ -167,7 +171,7 @@
         return NodeProgram(path).run();
     } catch (const std::exception& error) {
         std::cerr << error.what() << "\n";
-        return Exit::system_refused;
+        return Exit::system_error;
     }
 }
 
