--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -127,7 +127,7 @@
         openapi::load(*text, description_path, config::policy_of(*loaded.config), problems);
     print(problems);
     if (!description) return Exit::check_failed;
-    std::cout << fmt::format("{}: good; {}: good, {} routes\n", path, description_path,
+    std::cout << fmt::format("{}: valid; {}: valid, {} routes\n", path, description_path,
                              description->table.routes().size());
     return Exit::success;
 }
@@ -152,7 +152,7 @@
     if (!description) return Exit::check_failed;
     std::cout << openapi::table_text(*description);
     if (config_path.empty())
-        std::cout << "Without a configuration: class 'default' and 1 unit where none is given.\n";
+        std::cout << "Without a configuration: class 'default' and 1 unit unless set.\n";
     else if (policy.reject_unpriced)
         std::cout << "A route without class or cost is rejected.\n";
     else
@@ -168,35 +168,35 @@
         "silverreach: an API gateway that keeps quotas and priorities over a fleet of instances"};
     app.require_subcommand(1);
     app.footer(
-        "Exit codes: 0 done; 1 a bad file or a broken rule; 2 wrong usage; 3 the system refused "
-        "something.");
+        "Exit codes: 0 success; 1 invalid file or violated rule; 2 usage error; 3 system error.");
     int exit_code = Exit::success;
     std::string path, config_path;
 
-    auto* serve_command =
-        app.add_subcommand("serve",
-                           "Run one instance. SIGHUP reads the description again; SIGTERM and "
-                           "SIGINT end it after what is in hand");
+    auto* serve_command = app.add_subcommand(
+        "serve",
+        "Run one instance. SIGHUP reloads the API description; SIGTERM and SIGINT "
+        "stop it after the requests in flight");
     serve_command->add_option("--config", path, "Configuration, protobuf text format")->required();
     serve_command->callback([&] { exit_code = serve(path); });
 
-    auto* node_command = app.add_subcommand(
-        "node",
-        "Run one instance on the operators' platform, configured by NODE_CONFIG. SIGHUP follows "
-        "another discovery; SIGTERM ends it after what is in hand");
+    auto* node_command = app.add_subcommand("node",
+                                            "Run one instance on the operators' platform, "
+                                            "configured by NODE_CONFIG. SIGHUP reloads the "
+                                            "address of the discovery service; SIGTERM and SIGINT "
+                                            "stop it after the requests in flight");
     node_command->callback([&] { exit_code = run_node(); });
 
     auto* check_command = app.add_subcommand(
-        "check", "Check a configuration and its description; all errors at once");
+        "check", "Check a configuration and its API description; all errors are listed");
     check_command->add_option("--config", path, "Configuration; - for standard input")->required();
     check_command->callback([&] { exit_code = check(path); });
 
-    auto* routes_command =
-        app.add_subcommand("routes", "Show a description's routes as the gateway understands them");
+    auto* routes_command = app.add_subcommand(
+        "routes", "Show the routes of an API description as the gateway reads them");
     routes_command->add_option("FILE", path, "OpenAPI description; - for standard input")
         ->required();
     routes_command->add_option("--config", config_path,
-                               "Classes and policy from this configuration");
+                               "Take classes and policy from this configuration");
     routes_command->callback([&] { exit_code = routes(path, config_path); });
 
     add_key_commands(app, exit_code);
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -108,7 +108,7 @@
         configured_path.starts_with('/') ? configured_path : folder_ + "/" + configured_path;
     const auto text = read_file(path);
     if (!text) {
-        problems.push_back({path, 0, "api.description", "a file that can be read"});
+        problems.push_back({path, 0, "api.description", "a readable file"});
         return nullptr;
     }
     return openapi::load(*text, path, config::policy_of(config_), problems);
--- a/src/cli/keys.cpp
+++ b/src/cli/keys.cpp
@@ -69,7 +69,7 @@
             std::cerr << error << "\n";
             return Exit::check_failed;
         }
-        std::cout << (options.dry_run ? "would do: " : "") << summary
+        std::cout << (options.dry_run ? "dry run: " : "") << summary
                   << fmt::format(" (version {})\n",
                                  store.registry().version() + (options.dry_run ? 1 : 0));
         return Exit::success;
@@ -97,9 +97,9 @@
             return Exit::check_failed;
         }
         if (options.dry_run)
-            std::cout << "would do: " << summary << "\n";
+            std::cout << "dry run: " << summary << "\n";
         else
-            std::cout << summary << ": key " << id << ", shown this once:\n" << text << "\n";
+            std::cout << summary << ": key " << id << ", shown only once:\n" << text << "\n";
         return Exit::success;
     });
 }
@@ -119,7 +119,7 @@
             std::cout << fmt::format("{}  plan {}{}\n", name, account.plan,
                                      account.merged_into.empty()
                                          ? ""
-                                         : "  counts for " + loaded_registry.resolve_merges(name));
+                                         : "  merged into " + loaded_registry.resolve_merges(name));
             std::map<std::string, const Key*> keys_by_id;
             for (const auto& [id, key] : loaded_registry.keys())
                 if (key.account == name) keys_by_id[id] = &key;
@@ -130,7 +130,7 @@
                     key->cause == RevocationCause::none
                         ? ""
                         : fmt::format("  revoked: {}", to_string(key->cause)),
-                    key->successor.empty() ? "" : "  followed by " + key->successor);
+                    key->successor.empty() ? "" : "  successor " + key->successor);
         }
         return Exit::success;
     });
@@ -156,32 +156,31 @@
 void add_key_commands(CLI::App& app, int& exit_code) {
     auto options = std::make_shared<Options>();
     auto* keys_command =
-        app.add_subcommand("keys", "Accounts, plans and keys: a registry in a folder");
+        app.add_subcommand("keys", "Manage accounts, plans and keys in a registry folder");
     keys_command->require_subcommand(1);
     const auto add_command = [&](const char* name, const char* description, bool can_change) {
         auto* subcommand = keys_command->add_subcommand(name, description);
-        subcommand->add_option("--registry", options->registry_folder, "The registry's folder")
+        subcommand->add_option("--registry", options->registry_folder, "Registry folder")
             ->required();
         if (can_change)
             subcommand->add_flag("--dry-run", options->dry_run,
-                                 "Say what would be done, change nothing");
+                                 "Check the change without making it");
         return subcommand;
     };
     auto* plan_command =
-        add_command("plan", "Add a plan; the first makes the registry with --make", true);
+        add_command("plan", "Add a plan; with --make, create the registry first", true);
     plan_command->add_option("NAME", options->plan)->required();
     plan_command->add_flag("--make", options->create_registry,
-                           "Make the folder where there is none");
+                           "Create the registry folder if it does not exist");
     plan_command->callback([options, &exit_code] {
         exit_code =
             apply_change(*options, AddPlan{options->plan}, "plan " + options->plan + " added");
     });
 
     auto* drop_plan_command =
-        add_command("drop-plan", "Remove a plan; its accounts go over to another", true);
+        add_command("drop-plan", "Remove a plan; its accounts move to another", true);
     drop_plan_command->add_option("NAME", options->plan)->required();
-    drop_plan_command->add_option("--to", options->successor,
-                                  "The plan that its accounts go over to");
+    drop_plan_command->add_option("--to", options->successor, "The plan that its accounts move to");
     drop_plan_command->callback([options, &exit_code] {
         exit_code = apply_change(*options, RemovePlan{options->plan, options->successor},
                                  "plan " + options->plan + " removed");
@@ -196,22 +195,24 @@
                                  "account " + options->account + " on plan " + options->plan);
     });
 
-    auto* merge_command =
-        add_command("merge", "Count one account's keys and use for another from now on", true);
+    auto* merge_command = add_command(
+        "merge", "Count the keys and requests of one account for another from now on", true);
     merge_command->add_option("FROM", options->account)->required();
     merge_command->add_option("INTO", options->merge_target)->required();
     merge_command->callback([options, &exit_code] {
         exit_code = apply_change(*options, MergeAccounts{options->account, options->merge_target},
-                                 options->account + " counts for " + options->merge_target);
+                                 options->account + " merged into " + options->merge_target);
     });
 
     auto* issue_command =
-        add_command("issue", "Make a key for an account; its text is shown once", true);
+        add_command("issue", "Issue a key for an account; its text is shown once", true);
     issue_command->add_option("ACCOUNT", options->account)->required();
-    issue_command->add_option("--starts-in-s", options->start_delay_s, "Seconds until it is served")
+    issue_command
+        ->add_option("--starts-in-s", options->start_delay_s, "Seconds until the key becomes valid")
         ->check(CLI::NonNegativeNumber);
     issue_command
-        ->add_option("--valid-s", options->validity_s, "Seconds that it is served; 0: without end")
+        ->add_option("--valid-s", options->validity_s,
+                     "Seconds that the key is valid; 0: no expiry")
         ->check(CLI::NonNegativeNumber);
     issue_command->callback([options, &exit_code] {
         exit_code = apply_with_new_key(
@@ -228,9 +229,10 @@
     });
 
     auto* rotate_command = add_command(
-        "rotate", "Make a key that follows another; both work until the overlap ends", true);
+        "rotate", "Issue a successor of a key; both are valid until the overlap ends", true);
     rotate_command->add_option("ID", options->id)->required();
-    rotate_command->add_option("--overlap-s", options->overlap_s, "Seconds; a day by default")
+    rotate_command
+        ->add_option("--overlap-s", options->overlap_s, "Overlap in seconds; one day by default")
         ->check(CLI::NonNegativeNumber);
     rotate_command->callback([options, &exit_code] {
         exit_code = apply_with_new_key(
@@ -242,12 +244,13 @@
             "rotated " + options->id);
     });
 
-    auto* revoke_command = add_command("revoke", "End a key", true);
+    auto* revoke_command = add_command("revoke", "Revoke a key", true);
     revoke_command->add_option("ID", options->id)->required();
-    revoke_command->add_option("--cause", options->cause, "asked, leaked or closed")
+    revoke_command->add_option("--cause", options->cause, "Cause: asked, leaked or closed")
         ->check(CLI::IsMember({"asked", "leaked", "closed"}));
     revoke_command
-        ->add_option("--after-s", options->revocation_delay_s, "Seconds until it ends; 0: now")
+        ->add_option("--after-s", options->revocation_delay_s,
+                     "Seconds until the key is revoked; 0: now")
         ->check(CLI::NonNegativeNumber);
     revoke_command->callback([options, &exit_code] {
         exit_code = apply_change(
@@ -258,13 +261,13 @@
             "key " + options->id + " revoked");
     });
 
-    auto* list_command =
-        add_command("list", "Accounts and their keys, by id; no text of a key is kept", false);
-    list_command->add_option("--account", options->account, "This one alone");
+    auto* list_command = add_command(
+        "list", "List accounts and their keys, by id; the text of a key is not stored", false);
+    list_command->add_option("--account", options->account, "Only this account");
     list_command->callback([options, &exit_code] { exit_code = list_accounts(*options); });
 
-    auto* show_command =
-        add_command("show", "What a key is worth now; its text comes from standard input", false);
+    auto* show_command = add_command(
+        "show", "Show the status of a key; its text is read from standard input", false);
     show_command->callback([options, &exit_code] { exit_code = show_key(*options); });
 }
 
--- a/src/cli/node_program.cpp
+++ b/src/cli/node_program.cpp
@@ -158,7 +158,7 @@
 int run_node() {
     const char* path = getenv("NODE_CONFIG");
     if (!path || !*path) {
-        std::cerr << "NODE_CONFIG: expected the name of the configuration file\n";
+        std::cerr << "NODE_CONFIG: expected the path of the configuration file\n";
         return Exit::usage_error;
     }
     signal(SIGPIPE, SIG_IGN);
--- a/tests/cli/commands.sh
+++ b/tests/cli/commands.sh
@@ -1,16 +1,16 @@
 #!/usr/bin/env bash
-# The command line as a user meets it: exit codes, help on each command, standard input. $1: the program, $2: the root.
+# The command line: exit codes, help of each command, standard input, signals. $1: the program, $2: the source root.
 set -u
 program=$1 root=$2 failed=0
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
-expect() {  # what, wanted exit code, wanted words, command...
-    local what=$1 code=$2 words=$3 said got
+expect() {  # case name, expected exit code, expected text, command...
+    local case_name=$1 expected_code=$2 expected_text=$3 output exit_code
     shift 3
-    said=$("$@" 2>&1 </dev/stdin)
-    got=$?
-    if [ "$got" != "$code" ] || ! grep -qF -- "$words" <<<"$said"; then
-        echo "$what: exit $got, wanted $code with '$words': $said"
+    output=$("$@" 2>&1 </dev/stdin)
+    exit_code=$?
+    if [ "$exit_code" != "$expected_code" ] || ! grep -qF -- "$expected_text" <<<"$output"; then
+        echo "$case_name: exit $exit_code, expected $expected_code with '$expected_text': $output"
         failed=1
     fi
 }
@@ -24,7 +24,7 @@
 expect "missing file" 3 "cannot be read" "$program" check --config "$work/none"
 echo 'listen { address: "x" }' >"$work/bad"
 expect "bad configuration" 1 "bad:1: listen.address" "$program" check --config "$work/bad"
-expect "several problems at once" 1 "problems" "$program" check --config "$work/bad"
+expect "several problems" 1 "problems" "$program" check --config "$work/bad"
 expect "routes" 0 "/v1/audits" "$program" routes "$root/scenarios/birds.yaml"
 expect "routes from standard input" 0 "/v1/audits" "$program" routes - <"$root/scenarios/birds.yaml"
 echo 'openapi: 3.1.0' >"$work/api.yaml"
@@ -35,7 +35,7 @@
 class { name: "read" aim_ms: 100 deadline_ms: 500 }
 hosts { file: "hosts.json" }
 EOF
-expect "a configuration whose description is bad" 1 "paths: expected" "$program" check --config "$work/good"
+expect "configuration with a bad description" 1 "paths: expected" "$program" check --config "$work/good"
 expect "serving with a bad description" 3 "paths: expected" "$program" serve --config "$work/good"
 printf 'openapi: 3.1.0\nx-silverreach-class: read\nx-silverreach-units: 1\npaths: {/a: {get: {}}}\n' >"$work/api.yaml"
 expect "check" 0 "1 routes" "$program" check --config "$work/good"
@@ -47,8 +47,8 @@
 sleep 0.3
 kill -TERM "$server"
 wait "$server" || { echo "SIGTERM: exit $?"; failed=1; }
-grep -q description_changed "$work/log" || { echo "SIGHUP read nothing: $(cat "$work/log")"; failed=1; }
-# The former instance still holds the address: the next one comes up once it is gone.
+grep -q description_changed "$work/log" || { echo "SIGHUP did not reload the description: $(cat "$work/log")"; failed=1; }
+# The first instance still uses the address; the second one retries and starts once the first has stopped.
 "$program" serve --config "$work/good" >"$work/first" 2>/dev/null &
 first=$!
 for _ in $(seq 100); do grep -q "listening on port" "$work/first" && break || sleep 0.05; done
@@ -61,7 +61,7 @@
 wait "$first"
 for _ in $(seq 100); do grep -q "listening on port $port" "$work/second" && break || sleep 0.05; done
 grep -q start_delayed "$work/delayed" && grep -q "listening on port $port" "$work/second" ||
-    { echo "a start that waits for its address: $(cat "$work/second" "$work/delayed")"; failed=1; }
+    { echo "start while the address is in use: $(cat "$work/second" "$work/delayed")"; failed=1; }
 kill -TERM "$second" && wait "$second" || { echo "second: exit $?"; failed=1; }
 NODE_CONFIG="" expect "node without a configuration" 2 "NODE_CONFIG" "$program" node
 NODE_CONFIG="$work/none" expect "node with a missing file" 3 "cannot be read" "$program" node
@@ -87,5 +87,5 @@
 wait "$node" || { echo "node, SIGTERM: exit $?"; failed=1; }
 grep -q "configuration discovery" "$work/log" && grep -q configuration_kept "$work/log" && grep -q stopped "$work/log" ||
     { echo "node: $(cat "$work/log")"; failed=1; }
-expect "a bad scenario" 1 "expected a value" "$program" drill "$work/api.yaml"
+expect "bad scenario" 1 "expected a value" "$program" drill "$work/api.yaml"
 exit $failed
