--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -46,7 +46,7 @@
 
 TEST(NodeConfig, AllKeysAreRead) {
     const NodeConfig config = parse_config(node_test::config_json());
-    EXPECT_EQ(config.listen.text(), "127.0.0.1:0");
+    EXPECT_EQ(config.listen.to_string(), "127.0.0.1:0");
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
     EXPECT_EQ(config.limits.sockets, 256);
     EXPECT_EQ(config.settings.classes.size(), 2u);
