--- a/include/silverreach/interface.h
+++ b/include/silverreach/interface.h
@@ -1,13 +1,13 @@
 // The public interface of the decision engine: settings, events, actions and the engine itself.
 //
-// The host program owns clock, timers, connections and messages. It builds one DecisionEngine per
-// gateway instance, passes events to it in the order in which they happen, and carries out the
+// The host program owns the clock, timers, connections and messages. It creates one DecisionEngine
+// per gateway instance, passes events to it in the order in which they happen, and carries out the
 // actions that each event yields, in their order. The engine does no I/O and keeps no pointer or
 // reference to anything passed to it.
 //
 // Times are microseconds of one monotonic clock with an arbitrary start. Rates are per second.
-// Shares and factors are plain ratios, where 1 is the whole. "Units" are what a plan's quota is
-// counted in; most requests cost one.
+// Shares and factors are ratios, where 1 means 100 %. A plan's quota is counted in units; most
+// requests cost one unit.
 #pragma once
 
 #include <chrono>
@@ -20,16 +20,16 @@
 namespace silverreach {
 
 using Micros = std::chrono::microseconds;
-// Chosen by the host program; unique among the requests of one engine, below 2^60.
+// Assigned by the host program; unique among the requests of one engine, below 2^60.
 using RequestId = std::uint64_t;
 
-// ---- settings, fixed for the life of an engine ----
+// ---- settings, fixed for the lifetime of an engine ----
 
-// What a second execution of the same request does.
+// The effect of executing the same request a second time.
 enum class Idempotency {
-    idempotent,       // no harm: it may be retried and hedged
-    idempotency_key,  // endpoints drop it, within the deduplication scope and window
-    non_idempotent    // a second effect: retried only where no earlier attempt can have run
+    idempotent,       // none: the request may be retried and hedged
+    idempotency_key,  // none: endpoints drop it, within the deduplication scope and window
+    non_idempotent    // it repeats: retried only if no earlier attempt can have run
 };
 
 // The endpoints among which a repeated idempotency key is recognized.
@@ -46,15 +46,15 @@
     on_health_check
 };
 
-// Requests that share deadline, priority and idempotency.
+// Requests with the same deadline, priority and idempotency.
 struct RequestClass {
     std::string name;
     Idempotency idempotency = Idempotency::idempotent;
     DeduplicationScope deduplication_scope = DeduplicationScope::all;
-    Micros latency_objective{0};     // a response within this time has the full weight; above 0
+    Micros latency_objective{0};     // responses within this time have the full weight; above 0
     Micros deadline{0};              // time until the client gives up; above 0
     Micros deduplication_window{0};  // how long endpoints remember an idempotency key
-    // For the host program; no decision reads these two.
+    // The next two are for the host program; no decision uses them.
     double priority_weight = 1;     // value of one response, relative to other classes
     double late_weight_factor = 0;  // share of the weight left after the latency objective
 };
@@ -65,7 +65,7 @@
     double rate = 0;                  // units per second; 0: no rate quota
     double burst = 0;                 // capacity of the token bucket, in units
     int max_concurrent_attempts = 0;  // attempts in flight in the fleet; 0: no limit
-    double priority_factor = 1;       // multiplies RequestClass::priority_weight; in no decision
+    double priority_factor = 1;       // multiplies priority_weight; not used for decisions
     double excess_weight_factor = 0;  // share of the weight that a request beyond the quota has
     double excess_cost_factor = 0;    // share of the weight that an attempt beyond the quota costs
     double ceiling_rate = 0;          // units per second, never exceeded; 0: no ceiling
@@ -73,35 +73,35 @@
 };
 
 struct Settings {
-    // Place in the fleet.
-    int rank = 0;            // of this instance, from 0 to instance_count - 1
+    // Position of this instance in the fleet.
+    int rank = 0;            // from 0 to instance_count - 1
     int instance_count = 1;  // gateway instances
-    std::string zone;        // of this instance; empty: unknown
+    std::string zone;        // empty: unknown
     std::vector<RequestClass> classes;
     std::vector<Plan> plans;
     // What the engine may do.
     int max_attempts = 1;    // per request, hedged ones included; at least 1
-    bool may_hedge = false;  // two attempts of one request in flight
+    bool may_hedge = false;  // two attempts of one request may be in flight
     bool may_cancel = false;
     bool may_health_check = false;
     bool may_message_peers = false;
     bool may_send_retry_after = false;
     Micros max_retry_after{0};                 // longest Retry-After; 0: no limit
-    double peer_messages_per_second = 0;       // that one instance accepts, from all peers
-    bool units_corrected_by_response = false;  // AttemptEnded::actual_units replaces the estimate
+    double peer_messages_per_second = 0;       // that one instance accepts from all peers together
+    bool units_corrected_by_response = false;  // by AttemptEnded::actual_units
     LoadReportMode load_report_mode = LoadReportMode::none;
-    // How the endpoints behave, and what they cost.
+    // Timers, and the behaviour and cost of endpoints.
     Micros timer_tick{0};         // resolution of the host program's timers
-    Micros slow_start_window{0};  // time in which a started endpoint warms up; 0: none
-    // An endpoint that warms up fails when it gets `overload_factor` times what its capacity allows
-    // within `overload_window`. The window itself enters no decision.
+    Micros slow_start_window{0};  // warm-up time of an endpoint after its start; 0: none
+    // An endpoint in slow start fails when it gets `overload_factor` times the load that its
+    // capacity allows within `overload_window`. No decision uses the window.
     Micros overload_window{0};
     double overload_factor = 1;
-    double initial_capacity_share = 1;  // capacity at the start, as a share of the full one
-    double cross_zone_cost = 0;         // price of an attempt in another zone; 0: none
+    double initial_capacity_share = 1;  // share of the full capacity at the start
+    double cross_zone_cost = 0;         // of an attempt in another zone; 0: none
 };
 
-// Throws std::invalid_argument, with a message that names the setting, where an engine cannot work
+// Throws std::invalid_argument, with a message that names the setting, if no engine can be created
 // with the settings. Thread-safe.
 void validate(const Settings& settings);
 
@@ -109,46 +109,46 @@
 
 enum class EndpointStatus {
     available,
-    draining,  // gets no new attempts; those in flight complete
+    draining,  // gets no new attempts; attempts in flight complete
     removed
 };
 
 struct EndpointEntry {
-    std::string id;    // unique; the name in all other events and actions
+    std::string id;    // unique; names the endpoint in all other events and actions
     std::string zone;  // empty: unknown
     std::string kind;  // hardware model; not used for decisions
     std::int64_t cell = 0;
     EndpointStatus status = EndpointStatus::available;
     double weight = 1;     // capacity, relative to other endpoints
-    Micros started_at{0};  // clock time of the latest start; 0: long ago
+    Micros started_at{0};  // clock time of the last start; 0: long ago
 };
 
-// Load of an endpoint as it reports it. Negative: not reported.
+// Load that an endpoint reports. Negative values: not reported.
 struct LoadReport {
     double queued_requests = -1;
     double in_flight_requests = -1;  // executing and queued
-    double utilization = -1;         // share of the cores that is busy, 0 to 1
+    double utilization = -1;         // share of the CPU cores that is busy, 0 to 1
 };
 
 // How an attempt or a health check ended.
 enum class Outcome {
     success,
-    error,           // a response that says that the request failed
+    error,           // a response that reports a failure of the request
     rejected,        // the endpoint sheds load; the request did not run
-    timeout,         // no response in the time allowed
+    timeout,         // no response within the timeout
     connect_failed,  // no connection; the request did not run
-    reset,           // the connection broke before the response; the request may have run
+    reset,           // the connection was lost before the response; the request may have run
     cancelled,       // by CancelAttempt; the request may have run
     not_started      // ended before its bytes were sent; the request did not run
 };
 
 struct EndpointsChanged {
-    bool complete = false;  // true: the whole list; entries that it lacks are removed
+    bool complete = false;  // true: the complete list; endpoints missing from it are removed
     std::vector<EndpointEntry> endpoints;
 };
-// Starts a request. The engine ends it by exactly one RejectRequest or FailRequest, unless a
-// successful attempt or the client ends it first. An arrival with an unknown class or plan, or with
-// an id that is in use, is ignored.
+// A client's request arrived. The engine ends it with exactly one RejectRequest or FailRequest,
+// unless a successful attempt or the client ends it first. The engine ignores an arrival with an
+// unknown class or plan, or with an id that is in use.
 struct RequestArrived {
     RequestId id = 0;
     std::string customer;
@@ -157,9 +157,9 @@
     double units = 1;          // estimate, charged to the customer's quota
     Micros time_remaining{0};  // until the client gives up
     int subset_size = 1;       // instances through which this customer's requests arrive
-    int subset_start = 0;      // rank of the first of them; the others follow, modulo the fleet
+    int subset_start = 0;      // rank of the first one; the others follow, modulo instance_count
 };
-// Ends one attempt; exactly once for each SendAttempt.
+// An attempt ended. Passed exactly once for each SendAttempt.
 struct AttemptEnded {
     RequestId id = 0;
     int attempt = 0;  // from 0, in the order in which the request's attempts were sent
@@ -170,24 +170,25 @@
     double actual_units = 0;         // as the endpoint counted them; 0: not reported
     LoadReport load_report = {};
 };
-// Ends one health check; exactly once for each StartHealthCheck.
+// A health check ended. Passed exactly once for each StartHealthCheck.
 struct HealthCheckEnded {
     std::string endpoint;
     Outcome outcome = Outcome::success;
     Micros duration{0};
     LoadReport load_report = {};
 };
-// The request needs no response any more; no attempt is sent for it after this.
+// The client no longer waits for a response. The engine sends no further attempt of the request.
 struct ClientDisconnected {
     RequestId id = 0;
 };
-// Messages may be lost, duplicated, delayed and reordered; malformed ones are ignored.
+// A peer's message. Messages may be lost, duplicated, delayed and reordered; the engine ignores
+// malformed ones.
 struct PeerMessageReceived {
     int from = 0;  // rank of the sender
     std::string bytes;
 };
 struct TimerFired {
-    std::uint64_t token = 0;  // of the SetTimer
+    std::uint64_t token = 0;  // SetTimer::token
 };
 
 using Event = std::variant<EndpointsChanged, RequestArrived, AttemptEnded, HealthCheckEnded,
@@ -195,7 +196,8 @@
 
 // ---- actions, from the engine to the host program ----
 
-// Ends in one AttemptEnded. A successful response is the request's final response.
+// Sends the request to an endpoint; followed by one AttemptEnded. A successful response is the
+// request's final response.
 struct SendAttempt {
     RequestId id;
     std::string endpoint;
@@ -206,37 +208,38 @@
     quota_exhausted,    // the customer's rate quota
     ceiling_reached,    // the customer's ceiling
     concurrency_limit,  // Plan::max_concurrent_attempts
-    overloaded,         // the back end is overloaded and pacing would pass the deadline
-    no_endpoint,        // none had capacity in time; nothing was sent
+    overloaded,         // the back end is overloaded, and pacing would delay the request too long
+    no_endpoint,        // no endpoint had capacity in time; nothing was sent
     no_response,        // sent, but no successful response in time; safe to retry
-    deadline_exceeded   // it arrived with no time remaining
+    deadline_exceeded   // the request arrived with no time remaining
 };
 
-// Final response: rejected, with no effect or none that a retry repeats.
+// Final response: the request is rejected. It had no effect, or a retry does not repeat the effect.
 struct RejectRequest {
     RequestId id;
     Micros retry_after;  // 0: none
     RejectReason reason = RejectReason::quota_exhausted;
 };
-// Final response: failed; the request may have run.
+// Final response: the request failed and may have run.
 struct FailRequest {
     RequestId id;
 };
-// Ends in AttemptEnded with Outcome::cancelled, unless the attempt has ended otherwise.
+// Cancels an attempt; followed by AttemptEnded with Outcome::cancelled, unless the attempt has
+// ended with another outcome.
 struct CancelAttempt {
     RequestId id;
     int attempt;
 };
-// Ends in one HealthCheckEnded.
+// Followed by one HealthCheckEnded.
 struct StartHealthCheck {
     std::string endpoint;
 };
-// Ends in one TimerFired with the same token, not before the delay is over.
+// Starts a timer; followed by one TimerFired with the same token, not before the delay is over.
 struct SetTimer {
     Micros delay;
     std::uint64_t token;  // below 2^63
 };
-// One datagram, without a response or an acknowledgement.
+// Sends one datagram, without acknowledgement or response.
 struct SendPeerMessage {
     int to;  // rank of the peer; negative: every peer
     std::string bytes;
@@ -245,21 +248,22 @@
 using Action = std::variant<SendAttempt, RejectRequest, FailRequest, CancelAttempt,
                             StartHealthCheck, SetTimer, SendPeerMessage>;
 
-// Decides on admission, endpoint, retries and rejection of each request of one gateway instance.
-// Not thread-safe: all calls come from one thread, or are serialized. Given the same settings,
-// seed and events it yields the same actions.
+// Decides on admission, endpoints, retries and rejection for the requests of one gateway instance.
+// Not thread-safe: calls must come from one thread or be serialized. The same settings, seed and
+// events yield the same actions.
 class DecisionEngine {
   public:
-    // `seed` starts the random choices. `now` is the clock time at which the instance started.
+    // `seed` initializes the random number generator. `now` is the clock time at which the instance
+    // started.
     // Throws std::invalid_argument as validate() does.
     DecisionEngine(Settings settings, std::uint64_t seed, Micros now);
     ~DecisionEngine();
     DecisionEngine(DecisionEngine&&) noexcept;
     DecisionEngine& operator=(DecisionEngine&&) noexcept;
 
-    // Handles one event at clock time `now`, which never decreases. Appends the actions to carry
-    // out, in order; `actions` stays the caller's. Events that refer to an unknown request,
-    // endpoint, peer or timer are ignored.
+    // Handles one event at clock time `now`, which must not decrease. Appends the actions to carry
+    // out to `actions`, in order; the caller owns the list. Ignores events that refer to an unknown
+    // request, endpoint, peer or timer.
     void handle(Micros now, const Event& event, std::vector<Action>& actions);
 
   private:
--- a/src/decisions/admission/admission_control.cpp
+++ b/src/decisions/admission/admission_control.cpp
@@ -5,9 +5,9 @@
 
 namespace silverreach {
 namespace {
-// Time kept for the response.
-constexpr double response_margin = 1.3;      // of the expected response time
-constexpr double max_response_margin = 0.8;  // of the time left
+// Time reserved for the response.
+constexpr double response_margin = 1.3;      // as a factor on the expected response time
+constexpr double max_response_margin = 0.8;  // as a share of the time left
 }  // namespace
 
 Micros AdmissionControl::latest_start(const RequestArrived& arrival) const {
@@ -34,7 +34,7 @@
     return {QuotaStatus::needs_lease, {}};
 }
 
-// This instance's share of the quota, one attempt at least.
+// Each instance may have its share of the quota in flight, but at least one attempt.
 bool AdmissionControl::exceeds_concurrency_quota(const CustomerQuota& customer,
                                                  const Plan& plan) const {
     if (plan.max_concurrent_attempts <= 0) return false;
--- a/src/decisions/admission/admission_control.h
+++ b/src/decisions/admission/admission_control.h
@@ -1,7 +1,8 @@
-// Admission control: what the quotas and the overload mean for a request.
+// Admission control: decides by quota and overload whether a request is admitted.
 //
-// A request within its quota is admitted, at a paced rate while the endpoints are overloaded. One
-// beyond its quota is rejected, or admitted as excess where that pays and there is spare capacity.
+// A request within its quota is admitted, at a paced rate while the endpoints are overloaded. A
+// request beyond its quota is rejected, or admitted as excess if its plan gives excess requests
+// more weight than cost and there is spare capacity.
 #pragma once
 
 #include <optional>
@@ -16,21 +17,21 @@
 
 enum class QuotaStatus {
     covered,      // the request is within its quota
-    needs_lease,  // it has to wait for a lease
-    exhausted     // it is beyond its quota, and no lease will come in time
+    needs_lease,  // the request has to wait for a lease
+    exhausted     // the request is beyond its quota and does not wait for a lease
 };
 struct Rejection {
     RejectReason reason = RejectReason::quota_exhausted;
-    Micros retry_after{0};  // before it is cut to what clients heed
+    Micros retry_after{0};  // before the limit of Settings::max_retry_after
 };
 struct QuotaDecision {
     QuotaStatus status = QuotaStatus::covered;
-    Rejection rejection;  // where the quota is exhausted
+    Rejection rejection;  // valid if the quota is exhausted
 };
 
 struct Pacing {
     Micros delay{0};        // until the request may be sent
-    bool too_late = false;  // the delay ends after the request's latest start; nothing was reserved
+    bool too_late = false;  // the delay exceeds the latest start; nothing is reserved
 };
 
 class AdmissionControl {
@@ -43,10 +44,10 @@
     // client's deadline.
     Micros latest_start(const RequestArrived& arrival) const;
     QuotaDecision check_quota(const RequestState& request) const;
-    // For a request beyond its quota: nothing where it is admitted as excess, else the rejection.
+    // For a request beyond its quota: no value if it is admitted as excess, else the rejection.
     std::optional<Rejection> check_excess(const RequestState& request,
                                           const Rejection& shortage) const;
-    // The warming-up limiter binds while the endpoints are overloaded.
+    // Applies the customer's warming-up limiter while the endpoints are overloaded.
     Pacing pace(const RequestState& request);
 
   private:
--- a/src/decisions/admission/admission_queue.h
+++ b/src/decisions/admission/admission_queue.h
@@ -1,6 +1,7 @@
-// Requests that were admitted while no endpoint had capacity. They are dispatched newest first: in
-// order of arrival, all would be sent at their last moment. Of more than endpoints can soon take,
-// the oldest are rejected, so that their clients can retry in time.
+// Queue of admitted requests for which no endpoint has capacity yet. The newest request is
+// dispatched first: in order of arrival, every request of a long queue would be sent just before
+// its latest start. When the queue exceeds its limit, the oldest request is rejected so that its
+// client can retry in time.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +13,18 @@
 
 class AdmissionQueue {
   public:
-    // `requests` outlives this. Ids of requests that are no longer there, or no longer queued, are
-    // dropped when they are met.
+    // `requests` must outlive the queue. Ids of requests that were removed or have left the queue
+    // are dropped lazily.
     explicit AdmissionQueue(RequestTable& requests) : requests_(requests) {}
 
     bool empty() const { return ids_.empty(); }
     // Queues the request unless it is queued already.
     void push(RequestState& request);
-    // Takes the oldest request out where more are queued than `endpoint_count` allows. Null: none
-    // to reject.
+    // Removes the oldest entry if the queue is longer than `endpoint_count` allows. Returns its
+    // request, or null if there is no request to reject.
     RequestState* pop_excess(std::size_t endpoint_count);
-    // Calls `try_send`, which returns whether the request has left the queue, for each request
-    // whose latest start has not passed, newest first.
+    // Calls `try_send` for each request whose latest start has not passed, newest first. `try_send`
+    // returns whether the request has left the queue.
     template <typename TrySend>
     void dispatch_queued(Micros now, TrySend try_send) {
         for (std::size_t i = ids_.size(); i-- > 0;) {
--- a/src/decisions/admission/retry_after.h
+++ b/src/decisions/admission/retry_after.h
@@ -1,4 +1,4 @@
-// The Retry-After that a rejected client gets.
+// The Retry-After of a rejected request.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace silverreach {
 
-// No longer than clients heed, where settings say how long that is; 0: none is sent.
+// The wait, limited to Settings::max_retry_after if that is set; 0: no Retry-After is sent.
 inline Micros retry_after_advice(const Settings& settings, Micros wait) {
     if (!settings.may_send_retry_after) return Micros{0};
     const Micros non_negative = std::max(wait, Micros{0});
--- a/src/decisions/decaying_counter.h
+++ b/src/decisions/decaying_counter.h
@@ -1,4 +1,4 @@
-// Times as seconds, and an exponentially decaying counter.
+// Conversions between durations and seconds, and an exponentially decaying counter.
 #pragma once
 
 #include <algorithm>
@@ -11,15 +11,15 @@
 inline double seconds(std::chrono::microseconds time) {
     return static_cast<double>(time.count()) / 1e6;
 }
-// Clamped to 0 to `max_duration_s`.
+// The result is clamped to the range from 0 to `max_duration_s`.
 inline std::chrono::microseconds micros(double duration_s) {
     constexpr double max_duration_s = 4e3;
     return std::chrono::microseconds(
         static_cast<std::int64_t>(std::clamp(duration_s, 0.0, max_duration_s) * 1e6));
 }
 
-// A sum whose terms decay exponentially. `memory_s` is the time constant in seconds, the same in
-// all calls; value() / memory_s is the recent rate a second.
+// A sum whose terms decay exponentially. `memory_s` is the time constant of the decay in seconds;
+// all calls must pass the same one. value() / memory_s is the recent rate per second.
 struct DecayingCounter {
     double amount = 0;  // at `updated_at`
     std::chrono::microseconds updated_at{0};
--- a/src/decisions/decision_engine.cpp
+++ b/src/decisions/decision_engine.cpp
@@ -1,5 +1,5 @@
-// Coordinator of the decisions: passes each event to the classes that it concerns, and takes a
-// request through admission. Rules stand with those classes.
+// Implements DecisionEngine: passes each event to the classes that handle it and takes requests
+// through admission. The classes in the subfolders contain the rules.
 #include <algorithm>
 #include <memory>
 #include <optional>
@@ -177,12 +177,12 @@
 
     // ---- requests
 
-    // Null where the request has its final response or was never known.
+    // Null if the request has its final response or is unknown.
     RequestState* find_request(RequestId id) {
         const auto it = requests_.find(id);
         return it == requests_.end() ? nullptr : &it->second;
     }
-    // Candidates point to endpoints, which an update of the list may remove.
+    // Candidates hold pointers to endpoints, which an update of the endpoint list may remove.
     void clear_candidates() {
         for (auto& [id, request] : requests_)
             request.candidates.clear();
--- a/src/decisions/dispatch/request_dispatcher.cpp
+++ b/src/decisions/dispatch/request_dispatcher.cpp
@@ -37,7 +37,8 @@
                            [this](RequestState& request) { return try_send(request); });
 }
 
-// False: no endpoint can take the request now. True: it is sent, or its candidates are checked.
+// Returns false if no endpoint can take the request now, true if the request is sent or its
+// candidates are being checked.
 bool RequestDispatcher::try_send(RequestState& request) {
     const Placement placement = load_balancer_.place(request);
     if (placement.endpoint) send_attempt(request, *placement.endpoint);
@@ -110,7 +111,7 @@
         case TimerKind::lease_request:
         case TimerKind::peer_outbox:
         case TimerKind::heartbeat:
-            return;  // not about requests
+            return;  // these timers do not belong to requests
     }
 }
 
@@ -133,7 +134,7 @@
     }
 }
 
-// A rejection invites the client to repeat the request, a failure promises nothing.
+// A rejection tells the client that it may repeat the request; a failure does not.
 void RequestDispatcher::give_up(RequestState& request) {
     if (!retry_policy_.client_may_repeat(request)) {
         context_.emit(FailRequest{request.arrival.id});
--- a/src/decisions/dispatch/request_dispatcher.h
+++ b/src/decisions/dispatch/request_dispatcher.h
@@ -1,13 +1,14 @@
-// The way of an admitted request: endpoint, queue, attempts, retries and final response.
+// Takes an admitted request from the choice of an endpoint through queue, attempts and retries to
+// its final response.
 //
-// States of a request and what moves it on:
+// States of a request and their transitions:
 //   admitted -> in flight        an endpoint is chosen
 //   admitted -> checking health  its candidates have too few samples
 //   admitted -> queued           no endpoint has capacity
-//   checking health -> in flight or queued, by the results or once they took long enough
+//   checking health -> in flight or queued, by the results or after a timeout
 //   queued -> in flight or checking health, when an endpoint has capacity
-//   in flight -> admitted        its last attempt failed and is retried
-//   any -> removed               final response, client disconnected, or rejected here
+//   in flight -> admitted        its last attempt failed, and the request is retried
+//   any -> removed               final response, client disconnected, or rejection
 #pragma once
 
 #include "decisions/admission/admission_queue.h"
@@ -21,29 +22,29 @@
 
 namespace silverreach {
 
-// Owned by the engine; all arguments outlive it. A call may remove its request, after which the
-// reference is invalid.
+// Owned by the engine. The constructor's arguments must outlive the dispatcher. A call may remove
+// its request, which invalidates the caller's reference.
 class RequestDispatcher {
   public:
     RequestDispatcher(DecisionContext& context, RequestTable& requests, QuotaManager& quota,
                       LoadBalancer& load_balancer, AdmissionQueue& queue);
 
-    // Sends the request, checks its candidates, or queues it until an endpoint has capacity. Gives
-    // up once its latest start has passed.
+    // Sends the request, checks its candidates, or queues it until an endpoint has capacity. Ends
+    // the request without a success once its latest start has passed.
     void dispatch(RequestState& request);
-    // Sends queued requests as far as endpoints have capacity.
+    // Sends queued requests while endpoints have capacity.
     void dispatch_queued();
 
-    // `endpoint`: null where it is no longer known.
+    // `endpoint`: null if it is no longer known.
     void on_attempt_ended(RequestState& request, const AttemptEnded& ended,
                           const Endpoint* endpoint);
     void on_health_check_ended(RequestState& request, Endpoint& endpoint, bool succeeded);
-    // A timer of the kinds that are about requests.
+    // Handles a timer of a request; ignores timers of other kinds.
     void on_timer(TimerKind kind, RequestState& request);
 
-    // Rejects the request. `retry_after` is cut to what clients heed.
+    // Rejects the request. `retry_after` is limited to Settings::max_retry_after.
     void reject(RequestState& request, RejectReason reason, Micros retry_after);
-    // Forgets a request that has its final response or needs none.
+    // Removes a request that has its final response or needs none.
     void remove(RequestState& request);
 
   private:
--- a/src/decisions/load_balancing/adaptive_limit.h
+++ b/src/decisions/load_balancing/adaptive_limit.h
@@ -1,4 +1,4 @@
-// Additive increase, multiplicative decrease of a limit on attempts in flight.
+// Additive increase and multiplicative decrease of a limit on attempts in flight.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 
 inline constexpr double max_adaptive_limit = 128;  // attempts
 inline constexpr double limit_decrease_factor = 0.9;
-inline constexpr double limit_increase = 1;  // divided by the limit, for each success near it
+// Attempts; divided by the limit, for each success near the limit.
+inline constexpr double limit_increase = 1;
 
 inline double decreased_limit(double limit, double min_limit) {
     return std::max(min_limit, limit * limit_decrease_factor);
--- a/src/decisions/load_balancing/attempt_assessment.cpp
+++ b/src/decisions/load_balancing/attempt_assessment.cpp
@@ -4,9 +4,9 @@
 
 namespace silverreach {
 
-// A timeout is judged by its length where the endpoint responded to others, and is the endpoint's
-// failure only where it did not: clients with short deadlines and costly requests must not eject
-// healthy endpoints.
+// If the endpoint responded to other attempts meanwhile, a timeout is a sign of overload unless it
+// was short. Only if it did not, the timeout is a failure of the endpoint: clients with short
+// deadlines and costly requests must not eject healthy endpoints.
 AttemptAssessment assess(const AttemptEnded& ended, const Endpoint& endpoint,
                          const DecisionContext& context, double latency_objective_s) {
     const bool timed_out = ended.outcome == Outcome::timeout;
--- a/src/decisions/load_balancing/attempt_assessment.h
+++ b/src/decisions/load_balancing/attempt_assessment.h
@@ -1,4 +1,4 @@
-// What the end of an attempt says about its endpoint and about the load of the fleet.
+// Derives the state of an endpoint and the load of the back end from the end of an attempt.
 #pragma once
 
 #include "decisions/decision_context.h"
@@ -8,17 +8,17 @@
 
 struct AttemptAssessment {
     bool success = false;
-    // A rejection, or a timeout at an endpoint that responds to others, while responses are slow
-    // in general.
+    // A rejection, or a timeout at an endpoint that responds to other attempts, while the mean
+    // response time is not fast.
     bool overload_sign = false;
-    bool lowers_limit = false;  // a sign of overload, or a success that was not fast
-    bool slow = false;          // a rejection or a slow response, whatever the general speed
-    // A timeout at an endpoint from which nothing came since before the attempt was sent.
+    bool lowers_limit = false;  // a sign of overload, or a success that is not fast
+    bool slow = false;          // a rejection, or an attempt of any outcome that took long
+    // A timeout at an endpoint that has not responded since the attempt was sent.
     bool unresponsive = false;
 };
 
-// `latency_objective_s`: of the attempt's request. Call it after `last_response` and the mean
-// response time have taken in this attempt.
+// `latency_objective_s`: of the attempt's request. Call this after `last_response` and the mean
+// response time are updated with the attempt.
 AttemptAssessment assess(const AttemptEnded& ended, const Endpoint& endpoint,
                          const DecisionContext& context, double latency_objective_s);
 
--- a/src/decisions/load_balancing/concurrency_limiter.cpp
+++ b/src/decisions/load_balancing/concurrency_limiter.cpp
@@ -5,7 +5,7 @@
 namespace silverreach {
 namespace {
 constexpr double min_endpoint_limit = 2;   // attempts
-constexpr double near_limit_attempts = 2;  // below the limit
+constexpr double near_limit_attempts = 2;  // attempts below the limit
 }  // namespace
 
 double ConcurrencyLimiter::limit(const Endpoint& endpoint) const {
--- a/src/decisions/load_balancing/concurrency_limiter.h
+++ b/src/decisions/load_balancing/concurrency_limiter.h
@@ -1,4 +1,4 @@
-// The concurrency limit of an endpoint: attempts of all instances that it may have in flight.
+// The concurrency limit of an endpoint: the attempts of all instances that may be in flight there.
 #pragma once
 
 #include "decisions/decision_context.h"
@@ -14,12 +14,13 @@
                        const InFlightWindow& window)
         : context_(context), estimator_(estimator), window_(window) {}
 
-    // The endpoint's own limit as far as its responses are known, else the fleet's.
+    // The endpoint's own limit and the limit of an average endpoint, weighted by the number of
+    // recent responses from the endpoint.
     double limit(const Endpoint& endpoint) const;
     bool at_limit(const Endpoint& endpoint) const {
         return estimator_.in_flight(endpoint) >= limit(endpoint);
     }
-    // Learns the endpoint's limit from the outcome of an attempt.
+    // Adapts the endpoint's own limit to the outcome of an attempt.
     void on_outcome(Endpoint& endpoint, const AttemptAssessment& assessment);
 
   private:
--- a/src/decisions/load_balancing/endpoint_selector.cpp
+++ b/src/decisions/load_balancing/endpoint_selector.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr std::size_t max_compared_endpoints = 12;  // for one choice
 // Factors on the expected cost.
-constexpr double cost_jitter = 0.1;  // instances must not all choose the same endpoint
+constexpr double cost_jitter = 0.1;  // keeps instances from all choosing the same endpoint
 constexpr double last_endpoint_cost = 4;
 constexpr double avoided_kind_cost = 16;
 constexpr double cross_zone_cost_scale = 5;
--- a/src/decisions/load_balancing/endpoint_selector.h
+++ b/src/decisions/load_balancing/endpoint_selector.h
@@ -1,5 +1,5 @@
-// Chooses the endpoints for an attempt: the two of the lowest expected cost among some eligible
-// ones, preferred endpoints first.
+// Chooses the candidates for an attempt: the two endpoints with the lowest cost among a sample of
+// eligible ones, which starts with the preferred endpoints.
 #pragma once
 
 #include "decisions/decision_context.h"
@@ -19,20 +19,21 @@
                      const ConcurrencyLimiter& limiter, const OutlierDetector& outliers,
                      const HealthChecker& health_checker);
 
-    // Empty where no endpoint can take the request. An endpoint in slow start whose turn it is
-    // comes alone.
+    // Empty if no endpoint can take the request. An endpoint in slow start that is admitted is the
+    // only candidate.
     CandidateList select_candidates(const RequestState& request);
-    // The cheapest candidate that can take the request after its health checks; null: none.
+    // The candidate with the lowest cost that can take the request after its health checks, or
+    // null.
     Endpoint* best_checked(const RequestState& request) const;
 
   private:
-    // Grows with the time that one more request would take at the endpoint. `in_flight`: requests
-    // that it has in flight by the InFlightEstimator.
+    // Grows with the expected response time of one more request at the endpoint. `in_flight`: its
+    // requests in flight by the InFlightEstimator.
     double expected_cost(const Endpoint& endpoint, double in_flight) const;
-    // The expected cost with what the request adds to it: zone, repetition, avoidance. Each call
-    // draws a random number.
+    // The expected cost with the factors of the request: another zone, the endpoint of the last
+    // attempt, an avoided kind. Each call draws a random number.
     double request_cost(const RequestState& request, const Endpoint& endpoint, double in_flight);
-    // Whether the endpoint may get the request at all, whatever its load.
+    // Whether the endpoint may get the request, regardless of its load.
     bool is_eligible(const RequestState& request, const Endpoint& endpoint) const;
 
     const DecisionContext& context_;
--- a/src/decisions/load_balancing/endpoint_table.cpp
+++ b/src/decisions/load_balancing/endpoint_table.cpp
@@ -25,7 +25,7 @@
     const auto [it, is_new] = endpoints_.try_emplace(entry.id);
     Endpoint& endpoint = it->second;
     if (is_new || entry.started_at != endpoint.entry.started_at) {
-        // Attempts at the former incarnation still end; nothing else of it is kept.
+        // Attempts sent before the restart still end, so their number is kept.
         const int attempts_in_flight = endpoint.attempts_in_flight;
         endpoint = Endpoint{};
         endpoint.attempts_in_flight = attempts_in_flight;
--- a/src/decisions/load_balancing/endpoint_table.h
+++ b/src/decisions/load_balancing/endpoint_table.h
@@ -1,5 +1,5 @@
-// The endpoints that this instance knows, from endpoint list updates. An endpoint that was removed
-// from the list stays until its last attempt has ended.
+// The endpoints that this instance knows from updates of the endpoint list. An endpoint that is
+// removed from the list is dropped by the first update after its last attempt has ended.
 #pragma once
 
 #include <cstddef>
@@ -13,28 +13,30 @@
 
 namespace silverreach {
 
-// Each instance prefers this many endpoints, so that many instances do not use up each endpoint's
-// connections and each instance sees enough responses of those it uses.
+// Number of endpoints that each instance prefers. The limit bounds the connections to each endpoint
+// when there are many instances, and gives each instance enough responses from those it uses.
 inline constexpr std::size_t preferred_endpoints = 32;
 
-// Owns the endpoints; pointers to them stay valid until the next update.
+// Owns the endpoints. Pointers to them are valid until the next update.
 class EndpointTable {
   public:
     explicit EndpointTable(const DecisionContext& context)
         : context_(context), slow_start_tracker_(context.boot) {}
 
-    // Applies an endpoint list or its changes. An endpoint with another start time starts anew.
+    // Applies an endpoint list or its changes. Resets the state of an endpoint with a new start
+    // time.
     void update(const EndpointsChanged& change);
-    // Sorts the endpoints anew and counts the warm ones again; forgets old start times.
+    // Rebuilds the order, counts the warm endpoints again and keeps the start times of known
+    // endpoints from expiring.
     void refresh();
     void forget_old_starts() { slow_start_tracker_.forget_old(context_.now); }
 
-    // Null where the endpoint is not known.
+    // Null if the endpoint is not known.
     Endpoint* find(const std::string& id);
     std::size_t size() const { return order_.size(); }
     // Endpoints past their slow start, as of the last update or refresh.
     std::size_t warm_count() const { return warm_count_; }
-    // All endpoints, preferred ones first. The selector shuffles within the preferred ones.
+    // All endpoints, preferred ones first. The selector shuffles the preferred ones.
     std::vector<Endpoint*>& order() { return order_; }
 
   private:
--- a/src/decisions/load_balancing/health_checker.cpp
+++ b/src/decisions/load_balancing/health_checker.cpp
@@ -4,7 +4,7 @@
 
 namespace silverreach {
 namespace {
-constexpr Micros health_check_wait{40'000};  // then the better of the checked endpoints is taken
+constexpr Micros health_check_wait{40'000};  // then the better checked endpoint gets the request
 }  // namespace
 
 bool HealthChecker::has_capacity(const Endpoint& endpoint) const {
@@ -32,7 +32,7 @@
 std::vector<RequestId> HealthChecker::on_ended(Endpoint& endpoint, const HealthCheckEnded& ended) {
     if (ended.outcome == Outcome::success)
         estimator_.on_load_report(endpoint, ended.load_report);
-    else if (ended.outcome != Outcome::not_started)  // else the fault is on this side
+    else if (ended.outcome != Outcome::not_started)  // not_started: the fault is on this instance
         outliers_.on_health_check_failed(endpoint);
     return std::exchange(endpoint.health_check_waiters, {});
 }
--- a/src/decisions/load_balancing/health_checker.h
+++ b/src/decisions/load_balancing/health_checker.h
@@ -1,6 +1,6 @@
-// Health checks before an attempt. They stand in for responses where this instance sees few of an
-// endpoint's: up to two candidates of a request are checked, the first idle one is taken, the
-// better one after a short wait.
+// Health checks before an attempt, for endpoints from which this instance has few recent responses.
+// Up to two candidates of a request are checked. The first one without queued requests gets the
+// request; when all checks have ended or a short timeout expires, the better candidate gets it.
 #pragma once
 
 #include <vector>
@@ -15,26 +15,26 @@
 
 class HealthChecker {
   public:
-    static constexpr double sufficient_responses = 10;  // recent ones, that make a check needless
-    static constexpr int max_rounds = 2;                // of checks for one request
+    static constexpr double sufficient_responses = 10;  // recent ones; make a check unnecessary
+    static constexpr int max_rounds = 2;                // rounds of checks for one request
 
     HealthChecker(DecisionContext& context, const InFlightEstimator& estimator,
                   const ConcurrencyLimiter& limiter, const OutlierDetector& outliers)
         : context_(context), estimator_(estimator), limiter_(limiter), outliers_(outliers) {}
 
-    // Whether the endpoint's own statistics suffice to send to it without a check.
+    // Whether the endpoint's own statistics suffice to send an attempt without a check.
     bool has_sufficient_samples(const Endpoint& endpoint) const {
         return !context_.settings.may_health_check ||
                endpoint.recent_responses(context_.now) >= sufficient_responses;
     }
-    // Whether the endpoint can take an attempt. One that just reported no queue can, whatever the
-    // limits say.
+    // Whether the endpoint can take an attempt. One that just reported an empty queue, but not its
+    // requests in flight, can do so regardless of its limit.
     bool has_capacity(const Endpoint& endpoint) const;
 
-    // Checks the candidates of the request; each endpoint has one check in flight at most. A timer
-    // ends the wait for them.
+    // Starts health checks of the request's candidates and a timer that ends the wait for them.
+    // Each endpoint has at most one check in flight.
     void start(RequestState& request);
-    // Takes in a result; returns the requests that waited for it.
+    // Handles the result of a check; returns the requests that waited for it.
     std::vector<RequestId> on_ended(Endpoint& endpoint, const HealthCheckEnded& ended);
 
   private:
--- a/src/decisions/load_balancing/in_flight_estimator.cpp
+++ b/src/decisions/load_balancing/in_flight_estimator.cpp
@@ -6,13 +6,14 @@
 namespace silverreach {
 namespace {
 constexpr double attempt_time_memory_s = 5;
-// From this many own attempts in flight on, they outweigh the mean over all endpoints.
+// Weight of the mean over all endpoints, in attempts in flight: with more own attempts in flight,
+// these outweigh the mean.
 constexpr double mean_weight_attempts = 2;
-constexpr double idle_below_queued = 0.5;  // queued requests
+constexpr double idle_below_queued = 0.5;  // requests
 }  // namespace
 
-// For each other instance the mean of the own attempts at an endpoint (Little's law), scaled to
-// what is in flight at this one as far as the own attempts can tell.
+// Estimates the attempts of each other instance as this instance's mean number of attempts in
+// flight per endpoint (Little's law), scaled by its attempts in flight at this endpoint.
 double InFlightEstimator::estimate(const Endpoint& endpoint) const {
     const double own = endpoint.attempts_in_flight;
     const auto endpoint_count = static_cast<double>(std::max<std::size_t>(1, endpoints_.size()));
@@ -22,7 +23,7 @@
                      (mean + mean_weight_attempts);
 }
 
-// Fades from the report to the estimate as the report ages.
+// Interpolates linearly from the report to the estimate as the report ages.
 double InFlightEstimator::in_flight(const Endpoint& endpoint) const {
     const double age = seconds(context_.now - endpoint.reported_at) / seconds(load_report_lifetime);
     if (endpoint.reported_in_flight < 0 || age >= 1) return estimate(endpoint);
@@ -32,7 +33,8 @@
 void InFlightEstimator::on_load_report(Endpoint& endpoint, const LoadReport& report) const {
     endpoint.reported_at = context_.now;
     endpoint.reports_in_flight = report.in_flight_requests >= 0;
-    // An endpoint that reports nothing counts as idle: the first one to respond is taken.
+    // An endpoint that reports no load counts as idle, so the first endpoint to respond gets the
+    // request.
     endpoint.reported_idle = report.queued_requests < idle_below_queued;
     if (report.in_flight_requests >= 0)
         endpoint.reported_in_flight = report.in_flight_requests;
--- a/src/decisions/load_balancing/in_flight_estimator.h
+++ b/src/decisions/load_balancing/in_flight_estimator.h
@@ -1,5 +1,5 @@
-// How many requests an endpoint has in flight from all instances: by its load report while that is
-// fresh, else by an estimate from this instance's own attempts.
+// Estimates how many requests of all instances an endpoint has in flight: from its load report
+// while that is fresh, otherwise from this instance's own attempts.
 #pragma once
 
 #include "decisions/decision_context.h"
@@ -15,9 +15,9 @@
     InFlightEstimator(const DecisionContext& context, const EndpointTable& endpoints)
         : context_(context), endpoints_(endpoints) {}
 
-    // Requests at the endpoint, by report or estimate.
+    // Requests in flight at the endpoint, by report or estimate.
     double in_flight(const Endpoint& endpoint) const;
-    // Attempts of all instances at the endpoint, without regard to its load reports.
+    // Attempts of all instances in flight at the endpoint, regardless of its load reports.
     double estimate(const Endpoint& endpoint) const;
     bool has_fresh_report(const Endpoint& endpoint) const {
         return endpoint.reported_at > Micros{0} &&
@@ -26,13 +26,13 @@
 
     void on_load_report(Endpoint& endpoint, const LoadReport& report) const;
     void on_attempt_sent(Endpoint& endpoint);
-    // Of an attempt at any endpoint.
+    // `duration`: of an attempt at any endpoint.
     void on_attempt_ended(Micros duration);
 
   private:
     const DecisionContext& context_;
     const EndpointTable& endpoints_;
-    DecayingCounter attempt_time_s_;  // seconds that this instance's attempts took
+    DecayingCounter attempt_time_s_;  // total duration of this instance's attempts in seconds
 };
 
 }  // namespace silverreach
--- a/src/decisions/load_balancing/in_flight_window.cpp
+++ b/src/decisions/load_balancing/in_flight_window.cpp
@@ -7,10 +7,11 @@
 namespace silverreach {
 namespace {
 constexpr double min_fleet_limit = 0.2;  // attempts
-constexpr double slack_deviations = 2;   // standard deviations of the own attempts in flight
+constexpr double slack_deviations = 2;  // standard deviations of this instance's attempts in flight
 }  // namespace
 
-// This instance's share of what the fleet takes, and the deviation from it that chance explains.
+// This instance's share of the attempts that the endpoints take, plus a margin for random
+// variation.
 double InFlightWindow::size() const {
     const double share =
         fleet_limit_ * static_cast<double>(endpoints_.size()) / context_.settings.instance_count;
--- a/src/decisions/load_balancing/in_flight_window.h
+++ b/src/decisions/load_balancing/in_flight_window.h
@@ -1,5 +1,6 @@
-// The in-flight window: how many attempts this instance may have in flight at endpoints of which it
-// sees few responses. Hundreds of instances that each see no queue would overload them together.
+// The in-flight window: how many attempts this instance may have in flight before it stops sending
+// to endpoints from which it has few responses. Without it, hundreds of instances that each see no
+// queue would overload these endpoints together.
 #pragma once
 
 #include "decisions/decision_context.h"
@@ -15,14 +16,15 @@
                    RandomSource& random)
         : context_(context), endpoints_(endpoints), random_(random) {}
 
-    // Less than one attempt left is a chance, so each call draws a random number.
+    // If less than one attempt is left, the window is open with that probability. Each call draws a
+    // random number.
     bool is_open() { return attempts_in_flight_ + random_.uniform() < size(); }
-    // Attempts in flight at an average endpoint that the fleet takes, by all instances.
+    // Attempts of all instances that may be in flight at an average endpoint.
     double fleet_limit() const { return fleet_limit_; }
 
     void on_attempt_sent() { ++attempts_in_flight_; }
     void on_attempt_ended() { --attempts_in_flight_; }
-    // Learns from the outcome of an attempt at any endpoint.
+    // Adapts the limit to the outcome of an attempt at any endpoint.
     void on_outcome(const AttemptAssessment& assessment);
 
   private:
--- a/src/decisions/load_balancing/load_balancer.cpp
+++ b/src/decisions/load_balancing/load_balancer.cpp
@@ -5,8 +5,8 @@
 
 namespace silverreach {
 namespace {
-constexpr double response_sample_weight = 0.05;  // of one response in an endpoint's mean
-// Of its first response; the rest is the fleet's mean.
+constexpr double response_sample_weight = 0.05;  // of a response in its endpoint's mean
+// Weight of the first response in its endpoint's mean; the rest is the mean over all endpoints.
 constexpr double first_response_weight = 0.2;
 
 void add_response(Endpoint& endpoint, double response_s, double fleet_mean_s) {
@@ -58,7 +58,7 @@
 
 void LoadBalancer::on_attempt_sent(Endpoint& endpoint, const RequestState& request) {
     estimator_.on_attempt_sent(endpoint);
-    // What is not in flight cannot be missing: the wait for a response starts now.
+    // Without attempts in flight no response was expected: the wait for a response starts now.
     if (endpoint.attempts_in_flight++ == 0) endpoint.last_response = context_.now;
     window_.on_attempt_sent();
     slow_start_.on_attempt_sent(endpoint, request.arrival.units, endpoints_.warm_count());
@@ -83,7 +83,7 @@
     if (!context_.stall_detector.stalled(context_.now))
         assessment = record_outcome(endpoint, ended, objective_s);
     if (!request) return assessment;
-    // While responses are fast a rejection is about this kind of request, not about load.
+    // While responses are fast, a rejection is attributed to this kind of request and not to load.
     if (ended.outcome == Outcome::rejected &&
         is_fast(context_.traffic.mean_response_s, objective_s))
         outliers_.on_rejected(endpoint, request->kind);
--- a/src/decisions/load_balancing/load_balancer.h
+++ b/src/decisions/load_balancing/load_balancer.h
@@ -1,5 +1,6 @@
-// Load balancing over the endpoints: which one takes a request, and what the outcomes of attempts
-// and health checks say about each. It keeps the endpoints and the classes that decide about them.
+// Load balancing over the endpoints: chooses the endpoint of an attempt and updates the state of
+// endpoints by the outcomes of attempts and health checks. Owns the endpoints and the classes that
+// decide on them.
 #pragma once
 
 #include <optional>
@@ -20,7 +21,7 @@
 
 enum class PlacementStatus {
     no_capacity,             // no endpoint can take the request now
-    endpoint_chosen,         // `endpoint` takes it
+    endpoint_chosen,         // `endpoint` gets the request
     health_checks_in_flight  // its candidates are being checked
 };
 struct Placement {
@@ -32,33 +33,33 @@
   public:
     LoadBalancer(DecisionContext& context, RandomSource& random);
 
-    // Endpoint pointers from before are invalid after it.
+    // Invalidates pointers to endpoints.
     void on_endpoints_changed(const EndpointsChanged& change) { endpoints_.update(change); }
-    // Forgets start times of endpoints that left the list long ago, and counts again which
-    // endpoints are warm. Removes no endpoint, but orders them anew.
+    // Drops start times of endpoints that left the list long ago, counts the warm endpoints again
+    // and rebuilds the order of the endpoints. Removes no endpoint.
     void refresh_endpoints();
-    // Null where the endpoint is not known.
+    // Null if the endpoint is not known.
     Endpoint* find(const std::string& endpoint) { return endpoints_.find(endpoint); }
     std::size_t endpoint_count() const { return endpoints_.size(); }
     const OutlierDetector& outlier_detector() const { return outliers_; }
 
     // Chooses the endpoint for an attempt, or starts health checks of the request's candidates.
     Placement place(RequestState& request);
-    // The best candidate after health checks; null: none can take the request.
+    // The best candidate after health checks, or null if none can take the request.
     Endpoint* best_checked(const RequestState& request) const {
         return selector_.best_checked(request);
     }
-    // Whether the request need not wait for its other candidate, given that the endpoint's health
-    // check succeeded.
+    // Whether the request can be sent to the endpoint without waiting for the check of its other
+    // candidate. Call this after a successful health check of the endpoint.
     bool is_idle_match(const RequestState& request, const Endpoint& endpoint) const;
 
     void on_attempt_sent(Endpoint& endpoint, const RequestState& request);
-    // `request`: null where it has its final response already. Returns nothing while this process
-    // is stalled, when outcomes say nothing.
+    // `request`: null if it already has its final response. Returns no assessment while this
+    // process is stalled, when outcomes are not meaningful.
     std::optional<AttemptAssessment> on_attempt_ended(Endpoint& endpoint,
                                                       const RequestState* request,
                                                       const AttemptEnded& ended);
-    // Returns the requests that waited for it.
+    // Returns the requests that waited for the check.
     std::vector<RequestId> on_health_check_ended(Endpoint& endpoint,
                                                  const HealthCheckEnded& ended) {
         return health_checker_.on_ended(endpoint, ended);
--- a/src/decisions/load_balancing/outlier_detector.cpp
+++ b/src/decisions/load_balancing/outlier_detector.cpp
@@ -8,7 +8,7 @@
 
 constexpr int consecutive_failures_to_eject = 3;
 constexpr Micros base_ejection_time = 500ms;
-constexpr int max_ejection_doublings = 4;  // 8 s at most
+constexpr int max_ejection_doublings = 4;  // up to 8 s
 constexpr Micros failed_health_check_pause = 250ms;
 constexpr Micros avoidance_time = 20s;
 constexpr int overdue_to_avoid_class = 2;  // in a row
@@ -20,7 +20,7 @@
         endpoint.failures = 0;
         endpoint.ejections = 0;
     }
-    // A reset may concern one connection only, a refused connection concerns the endpoint.
+    // A reset may affect a single connection; a failed connect affects the endpoint.
     if (outcome == Outcome::error || outcome == Outcome::reset || assessment.unresponsive)
         add_failures(endpoint, 1);
     if (outcome == Outcome::connect_failed) eject(endpoint);
--- a/src/decisions/load_balancing/slow_start.cpp
+++ b/src/decisions/load_balancing/slow_start.cpp
@@ -9,11 +9,12 @@
 using namespace std::chrono_literals;
 
 constexpr double warm_rate_memory_s = 30;
-constexpr double warm_time_prior_s = 5;  // keeps the rate low until warm time was seen
-// Keeps well below the rate that would overload the endpoint: requests may cost more than their
-// units say.
+constexpr double warm_time_prior_s = 5;  // keeps the rate low while little warm time is known
+// Share of the rate that would overload the endpoint. The margin allows for requests that cost more
+// than their units.
 constexpr double slow_start_caution = 0.5;
-constexpr Micros max_credited_time = 5s;  // since the last decision or attempt
+// Limit of the time since the last decision on an endpoint, or since the last attempt sent.
+constexpr Micros max_credited_time = 5s;
 }  // namespace
 
 bool SlowStart::admit_during_slow_start(Endpoint& endpoint, double units) {
@@ -24,8 +25,8 @@
     return random_.uniform() * std::max(units, 1e-3) < rate * seconds(elapsed);
 }
 
-// The rate is a mean over the time for which endpoints were warm: where most of them are in slow
-// start, the load of the few warm ones must not set it.
+// The rate is a mean over the time for which endpoints were warm, so that it does not follow the
+// load of the few warm endpoints while most are in slow start.
 void SlowStart::on_attempt_sent(const Endpoint& endpoint, double units, std::size_t warm_count) {
     const Micros now = context_.now;
     const auto used = static_cast<double>(std::min(warm_count, preferred_endpoints));
--- a/src/decisions/load_balancing/slow_start.h
+++ b/src/decisions/load_balancing/slow_start.h
@@ -1,4 +1,4 @@
-// Slow start: an endpoint that has started lately gets a share of the traffic that grows with its
+// Slow start: an endpoint that started recently gets a share of the traffic that grows with its
 // age.
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace silverreach {
 
-// Share of its full capacity that the endpoint surely has at its age; 1 once it is warm.
+// Share of its full capacity that the endpoint has reached at its age; 1 once it is warm.
 inline double capacity_share(const Endpoint& endpoint, const Settings& settings, Micros now) {
     if (endpoint.slow_start_began <= Micros{0} || settings.slow_start_window <= Micros{0}) return 1;
     const double age =
@@ -26,9 +26,10 @@
     SlowStart(const DecisionContext& context, RandomSource& random)
         : context_(context), random_(random) {}
 
-    // Whether an endpoint in slow start may take a request of `units` now. It gets the rate of a
-    // warm endpoint, scaled to the capacity it has, as a chance: the rate holds in sum over any
-    // number of instances and for retries too.
+    // Whether an endpoint in slow start may take a request of `units` now. Admits at random with
+    // the probability that yields the rate of a warm endpoint, scaled by the endpoint's capacity
+    // and the overload factor. The rate holds for any number of instances together, and includes
+    // retries.
     bool admit_during_slow_start(Endpoint& endpoint, double units);
     // `warm_count`: warm endpoints in the list.
     void on_attempt_sent(const Endpoint& endpoint, double units, std::size_t warm_count);
@@ -37,9 +38,9 @@
     const DecisionContext& context_;
     RandomSource& random_;
     Micros last_sent_{0};
-    DecayingCounter warm_units_;   // sent to warm endpoints
-    DecayingCounter warm_time_s_;  // seconds for which endpoints were warm, summed over them
-    double warm_rate_ = 0;         // units a second that a warm endpoint gets from this instance
+    DecayingCounter warm_units_;   // units sent to warm endpoints
+    DecayingCounter warm_time_s_;  // seconds for which endpoints were warm, summed over endpoints
+    double warm_rate_ = 0;         // units per second that a warm endpoint gets from this instance
 };
 
 }  // namespace silverreach
--- a/src/decisions/load_balancing/slow_start_tracker.h
+++ b/src/decisions/load_balancing/slow_start_tracker.h
@@ -1,6 +1,7 @@
-// When endpoints started, on this instance's own clock. The endpoint list has start times in wall
-// time, by a clock that may differ from this instance's by any amount; the order in which this
-// instance learns of endpoints does not depend on clocks. No I/O, no clock.
+// Tracks when endpoints started, on this instance's own clock. The endpoint list contains start
+// times by a wall clock that may differ from this instance's clock by any amount, whereas the order
+// in which this instance learns of endpoints does not depend on clocks. Does no I/O and reads no
+// clock.
 #pragma once
 
 #include <algorithm>
@@ -13,16 +14,16 @@
 
 class SlowStartTracker {
   public:
-    // Endpoint lists that come this soon after the instance's own start show what was there before
-    // it.
+    // Endpoints first listed within this time after the instance's own start count as started
+    // before it.
     static constexpr Micros first_lists{1'000'000};
-    // An endpoint that left the list is remembered for so long.
+    // How long an endpoint is remembered after it left the list.
     static constexpr Micros remembered{600'000'000};
 
     explicit SlowStartTracker(Micros boot) : boot_(boot) {}
 
-    // When the endpoint's slow start began, on this instance's clock; 0: long past. Call it with
-    // every entry of an endpoint list.
+    // Records an entry of an endpoint list; must be called for each entry. Returns when the
+    // endpoint's slow start began, on this instance's clock; 0: long ago.
     Micros began(const EndpointEntry& entry, Micros now) {
         auto [it, is_new] = starts_.try_emplace(entry.id);
         Start& start = it->second;
@@ -45,13 +46,14 @@
 
   private:
     struct Start {
-        Micros listed_start{0};  // wall time, as the list has it
+        Micros listed_start{0};  // wall time from the list
         Micros began{0};         // on this instance's clock
         Micros last_listed{0};
     };
-    // An endpoint that appears later, or with another start time, counts as started now: a wall
-    // clock that is ahead would make it look warm, one that is behind would keep it in slow start.
-    // For what was there first only the wall clock is known; a start ahead of it is one of now.
+    // An endpoint that is listed later, or with a new start time, counts as started now: with the
+    // listed time, a wall clock of this instance that is ahead would make the endpoint look warm,
+    // and one that is behind would keep it in slow start. For endpoints listed at the start of this
+    // instance only the listed time is known; a listed time in the future counts as now.
     Micros estimate_start(Micros listed_start, bool is_new, Micros now) const {
         if (listed_start <= Micros{0}) return Micros{0};
         const bool was_there_before = is_new && now - boot_ <= first_lists;
--- a/src/decisions/name_hash.h
+++ b/src/decisions/name_hash.h
@@ -1,5 +1,5 @@
-// A hash of names that is equal on every instance and in every version: instances agree by it on
-// who owns a customer's quota, and lease messages carry it.
+// A hash of names that is the same on every instance and in every version: it determines which
+// instance owns a customer's quota, and lease messages contain it.
 #pragma once
 
 #include <cstdint>
--- a/src/decisions/random_source.h
+++ b/src/decisions/random_source.h
@@ -1,4 +1,4 @@
-// The engine's random numbers. Equal seeds and equal events give equal decisions.
+// The engine's random number generator. Equal seeds and equal events yield equal decisions.
 #pragma once
 
 #include <cstddef>
--- a/src/decisions/request_state.h
+++ b/src/decisions/request_state.h
@@ -1,7 +1,7 @@
 // State of one request between its arrival and its final response.
 //
 // States: waiting for a lease or for pacing, queued, checking the health of its candidates, in
-// flight. A hedged request may be queued or check candidates while an attempt is in flight.
+// flight. A hedged request may be queued or wait for health checks while an attempt is in flight.
 #pragma once
 
 #include <cstddef>
@@ -23,25 +23,25 @@
 };
 
 struct RequestState {
-    RequestArrived arrival;  // with units of 0 at least
+    RequestArrived arrival;  // its units are at least 0
     CustomerQuota* customer = nullptr;
-    int kind = 0;            // request class and plan in one number
-    Micros deadline{0};      // end of the client's time
-    Micros latest_start{0};  // an attempt sent later is expected to miss the objective
+    int kind = 0;            // see request_kind()
+    Micros deadline{0};      // clock time until which the client waits
+    Micros latest_start{0};  // a later attempt is expected to miss the latency objective
 
     Reservation reservation;
     bool within_quota = true;  // false: admitted as excess
 
     bool sent = false;             // at least one attempt was sent
     bool queued = false;           // waits in the admission queue
-    bool checking_health = false;  // waits for health checks of its candidates
+    bool checking_health = false;  // waits for health checks of `candidates`
     int attempts = 0;
     int attempts_in_flight = 0;
     Micros last_sent{0};
     std::string last_endpoint;
 
     bool may_have_run = false;
-    PossibleRun first_possible_run;  // valid where may_have_run
+    PossibleRun first_possible_run;  // valid if may_have_run
 
     CandidateList candidates;
     int health_check_rounds = 0;
@@ -59,7 +59,8 @@
     }
 };
 
-// Endpoints may reject one kind of request and serve the others. `plan_count`: of the settings.
+// Number of the kind of a request, which is its request class and plan. An endpoint may reject one
+// kind and serve the others. `plan_count`: size of Settings::plans.
 inline int request_kind(const RequestArrived& arrival, std::size_t plan_count) {
     return arrival.request_class * static_cast<int>(plan_count + 1) + arrival.plan + 1;
 }
--- a/src/decisions/response_speed.h
+++ b/src/decisions/response_speed.h
@@ -1,4 +1,4 @@
-// Response times in relation to the latency objective.
+// Classifies response times relative to the latency objective.
 #pragma once
 
 #include "decisions/decaying_counter.h"
@@ -8,10 +8,10 @@
 namespace silverreach {
 
 inline constexpr double fast_response_ratio = 0.25;  // of the latency objective
-inline constexpr double slow_response_ratio = 0.5;
+inline constexpr double slow_response_ratio = 0.5;   // of the latency objective
 
-// While the mean response is fast, rejections and timeouts are about one kind of request and not a
-// sign of overload.
+// While the mean response time is fast, rejections and timeouts are attributed to one kind of
+// request and not to overload.
 inline bool is_fast(double response_s, double latency_objective_s) {
     return response_s <= fast_response_ratio * latency_objective_s;
 }
@@ -20,7 +20,7 @@
     return response_s > slow_response_ratio * latency_objective_s;
 }
 
-// Seconds; of the first request class where no class is known.
+// Latency objective of the first request class, in seconds; 1 s if there are no classes.
 inline double default_latency_objective_s(const Settings& settings) {
     return settings.classes.empty() ? 1 : seconds(settings.classes.front().latency_objective);
 }
--- a/src/decisions/retry/attempt_rules.cpp
+++ b/src/decisions/retry/attempt_rules.cpp
@@ -90,7 +90,7 @@
     return std::nullopt;
 }
 
-// Whether `next` may follow an earlier attempt, or be in flight beside it.
+// Checks whether `next` may follow an earlier attempt, or be in flight at the same time.
 Verdict AttemptRules::check_earlier_attempt(Micros now, const RequestRecord& request,
                                             const AttemptRecord& earlier,
                                             const AttemptRecord& next) const {
--- a/src/decisions/retry/attempt_rules.h
+++ b/src/decisions/retry/attempt_rules.h
@@ -1,9 +1,9 @@
 // The rules on the attempts of one request: whether an attempt may start now, whether its bytes may
 // be sent now, and whether a client's connection may be closed now.
 //
-// The engine chooses an attempt; it is checked here when it starts, and again when its bytes are to
-// be sent, since the connection may have come up late. No I/O and no clock: every call gives the
-// time.
+// An attempt that the engine has chosen is checked when it starts, and again before its bytes are
+// sent, since establishing the connection may have taken long. The rules do no I/O and read no
+// clock: the caller passes the time.
 #pragma once
 
 #include <array>
@@ -34,12 +34,12 @@
 // States: started, sent (`sent_at` is set), ended.
 struct AttemptRecord {
     std::string endpoint;
-    std::string zone;  // of the endpoint at the attempt's start
+    std::string zone;  // of the endpoint when the attempt started
     std::int64_t cell = 0;
-    Micros chosen_at{0};  // its start
-    Micros sent_at{0};    // when its bytes were sent; 0: not yet
+    Micros chosen_at{0};  // clock time at which the attempt started
+    Micros sent_at{0};    // clock time at which its bytes were sent; 0: not yet
     bool ended = false;
-    bool never_ran = false;  // its outcome proves that the endpoint did not execute it
+    bool never_ran = false;  // its outcome proves that the endpoint did not execute the request
 
     bool in_flight() const { return !ended; }
     bool may_have_run() const { return ended ? !never_ran : sent_at > Micros{0}; }
@@ -49,32 +49,33 @@
     int request_class = 0;  // index into Settings::classes
     bool answered = false;
     bool client_disconnected = false;
-    Micros deadline{0};  // a point of time
+    Micros deadline{0};  // clock time
     std::vector<AttemptRecord> attempts;
 };
 
-// A client's connection, as its owner sees it.
+// State of a client's connection.
 struct ConnectionRecord {
     std::size_t pending_requests = 0;
     bool client_disconnected = false;  // closed or broken by the client
 };
 
-using Verdict = std::optional<BlockReason>;  // nothing: allowed
+using Verdict = std::optional<BlockReason>;  // no value: allowed
 
 class AttemptRules {
   public:
     explicit AttemptRules(Settings settings) : settings_(std::move(settings)) {}
 
     void on_endpoints_changed(const EndpointsChanged& change);
-    // The record of an attempt that starts at the endpoint now.
+    // Returns the record of an attempt that starts at the endpoint now.
     AttemptRecord make_attempt(const std::string& endpoint, Micros now) const;
 
-    // Whether a further attempt of the request may start at the endpoint.
+    // Checks whether a further attempt of the request may start at the endpoint.
     Verdict check_start(Micros now, const RequestRecord& request,
                         const std::string& endpoint) const;
-    // Whether the bytes of an attempt may be sent. `attempt`: index into the request's attempts.
+    // Checks whether the bytes of an attempt may be sent. `attempt`: index into the request's
+    // attempts; throws std::out_of_range if there is no such attempt.
     Verdict check_send(Micros now, const RequestRecord& request, std::size_t attempt) const;
-    // Whether this instance may close a client's connection of its own accord.
+    // Checks whether this instance may close a client's connection.
     static Verdict check_close(const ConnectionRecord& connection);
 
   private:
@@ -89,7 +90,7 @@
                                   const AttemptRecord& earlier, const AttemptRecord& next) const;
 
     const Settings settings_;
-    std::unordered_map<std::string, KnownEndpoint> endpoints_;  // without the removed ones
+    std::unordered_map<std::string, KnownEndpoint> endpoints_;  // by id; without removed endpoints
 };
 
 }  // namespace silverreach::rules
--- a/src/decisions/retry/overdue_attempt_check.cpp
+++ b/src/decisions/retry/overdue_attempt_check.cpp
@@ -6,11 +6,13 @@
 
 namespace silverreach {
 namespace {
-// Expected responses, all of them missing, that make an endpoint unresponsive (e^-3.5 = 3 %).
+// Number of expected responses, none of which arrived, at which an endpoint counts as unresponsive.
+// The probability that this happens by chance is e^-3.5 = 3 %.
 constexpr double missing_responses = 3.5;
-// Usual response times after which a single response counts as lost (e^-6 = 0.2 %).
+// Multiple of the usual response time after which a single response counts as lost. The probability
+// that this happens by chance is e^-6 = 0.2 %.
 constexpr double lost_response_times = 6;
-// Bounds of the check's time, of the latency objective.
+// Bounds of the time until a check, as shares of the latency objective.
 constexpr double earliest_check_ratio = 0.25;
 constexpr double latest_check_ratio = 0.55;
 }  // namespace
@@ -28,8 +30,9 @@
                                                       : check_unresponsive(request, endpoint);
 }
 
-// Only cancels: a hedged request is sent for unresponsive endpoints alone. Costs requests that
-// need many times the usual response time.
+// Cancels the attempt and does not hedge it, because hedged requests are sent only for unresponsive
+// endpoints. The drawback: an attempt that needs many times the usual response time is cancelled
+// too.
 OverdueDecision OverdueAttemptCheck::check_responsive(const RequestState& request,
                                                       Endpoint& endpoint) {
     const double objective_s = default_latency_objective_s(context_.settings);
@@ -77,7 +80,8 @@
     return context_.settings.classes[request.arrival.request_class].idempotency;
 }
 
-// The mean response time as far as it is known, else the earliest check's.
+// The mean response time, weighted by the endpoint's recent responses against the time of the
+// earliest check.
 double OverdueAttemptCheck::usual_response_s(const Endpoint& endpoint) const {
     const double objective_s = default_latency_objective_s(context_.settings);
     const double responses = endpoint.recent_responses(context_.now);
--- a/src/decisions/retry/overdue_attempt_check.h
+++ b/src/decisions/retry/overdue_attempt_check.h
@@ -1,9 +1,9 @@
-// Finds attempts whose response is overdue, against endpoints that died without a sign, broken
-// connections and stalls.
+// Detects attempts whose response is overdue because the endpoint failed silently, a connection is
+// broken or a process stalls.
 //
-// An endpoint from which nothing came since the attempt was sent is ejected. One that responds to
-// others has lost this attempt or leaves its request class unanswered; two such in a row make the
-// class avoid it.
+// An endpoint that has not responded since the attempt was sent is ejected. An endpoint that
+// responds to other attempts has lost this one or leaves its request class unanswered; after two
+// such attempts in a row, the request class avoids the endpoint.
 #pragma once
 
 #include "decisions/decision_context.h"
@@ -16,7 +16,7 @@
 enum class OverdueAction {
     none,
     check_again,  // after OverdueDecision::check_after
-    hedge,        // send a hedged request, where the retry budget allows it
+    hedge,        // send a hedged request if the retry budget allows it
     cancel        // cancel the last attempt, so that it is retried
 };
 struct OverdueDecision {
@@ -29,15 +29,15 @@
     OverdueAttemptCheck(const DecisionContext& context, const OutlierDetector& outliers)
         : context_(context), outliers_(outliers) {}
 
-    // From sending an attempt to its first check.
+    // Time from sending an attempt to its first check.
     Micros first_check_delay(const RequestState& request) const;
-    // `endpoint`: of the request's last attempt, which is in flight.
+    // `endpoint`: the endpoint of the request's last attempt, which must be in flight.
     OverdueDecision check(const RequestState& request, Endpoint& endpoint);
 
   private:
     OverdueDecision check_responsive(const RequestState& request, Endpoint& endpoint);
     OverdueDecision check_unresponsive(const RequestState& request, Endpoint& endpoint);
-    // Checks again when the response will have taken `due_s`; none once it has.
+    // check_again, after the rest of `due_s` since the attempt was sent; none once that has passed.
     OverdueDecision check_when_due(const RequestState& request, double due_s) const;
     OverdueDecision replace_attempt(const RequestState& request) const;
     Idempotency idempotency_of(const RequestState& request) const;
--- a/src/decisions/retry/repeat_rules.cpp
+++ b/src/decisions/retry/repeat_rules.cpp
@@ -33,7 +33,7 @@
                        bool attempt_in_flight) {
     if (request_class.idempotency == Idempotency::idempotent) return true;
     if (attempt_in_flight) return false;
-    // The repeat may go to any endpoint.
+    // A retry by the client may be sent to any endpoint.
     return !may_have_run || (request_class.idempotency == Idempotency::idempotency_key &&
                              request_class.deduplication_scope == DeduplicationScope::all);
 }
--- a/src/decisions/retry/retry_budget.cpp
+++ b/src/decisions/retry/retry_budget.cpp
@@ -4,7 +4,7 @@
 namespace {
 constexpr double budget_memory_s = 10;
 constexpr double retries_per_first_attempt = 0.15;
-constexpr double min_retries = 5;  // within the memory, for instances with little traffic
+constexpr double min_retries = 5;  // within the time constant, for instances with little traffic
 }  // namespace
 
 void RetryBudget::on_first_attempt(Micros now) {
--- a/src/decisions/retry/retry_budget.h
+++ b/src/decisions/retry/retry_budget.h
@@ -1,4 +1,4 @@
-// Limits retries to a share of the first attempts, so that they cannot multiply an overload.
+// Limits retries to a share of the first attempts, so that they cannot amplify an overload.
 #pragma once
 
 #include "decisions/decaying_counter.h"
@@ -9,7 +9,7 @@
 class RetryBudget {
   public:
     void on_first_attempt(Micros now);
-    // Spends one retry; false: the budget does not allow it.
+    // Spends one retry; returns false if the budget does not allow it.
     bool try_spend(Micros now);
 
   private:
--- a/src/decisions/retry/retry_policy.cpp
+++ b/src/decisions/retry/retry_policy.cpp
@@ -20,7 +20,8 @@
     if (request.may_have_run &&
         check_repeat(class_of(request), request.first_possible_run.sent_at, context_.now))
         return false;
-    // Rejected while responses are fast: another endpoint may well take it, and no work is added.
+    // While responses are fast, a request that did not run is likely to succeed at another
+    // endpoint, and its retry repeats no work.
     const bool is_free =
         !request.may_have_run &&
         is_fast(context_.traffic.mean_response_s, latency_objective_s(context_.settings, request));
--- a/src/decisions/retry/retry_policy.h
+++ b/src/decisions/retry/retry_policy.h
@@ -1,4 +1,4 @@
-// Whether a request gets a further attempt, and whether its client may be invited to try again.
+// Decides whether a request gets a further attempt and whether its client may retry.
 #pragma once
 
 #include "decisions/decision_context.h"
@@ -9,7 +9,7 @@
 
 namespace silverreach {
 
-// Whether the request may run at the endpoint, given what may have run before.
+// Whether the request may run at the endpoint, given that earlier attempts may have run.
 inline bool may_run_at(const DecisionContext& context, const RequestState& request,
                        const Endpoint& endpoint) {
     if (!request.may_have_run) return true;
@@ -23,18 +23,18 @@
   public:
     explicit RetryPolicy(const DecisionContext& context) : context_(context) {}
 
-    // Call it before the request's state takes in the attempt.
+    // Call this before the request's state is updated with the attempt.
     void on_attempt_sent(const RequestState& request) {
         if (!request.sent) budget_.on_first_attempt(context_.now);
     }
-    // Notes whether the attempt may have run. `endpoint`: null where it is no longer known.
+    // Records whether the attempt may have run. `endpoint`: null if it is no longer known.
     void on_attempt_failed(RequestState& request, Outcome outcome, const Endpoint* endpoint) const;
 
-    // Whether a request without an attempt in flight is retried. Spends from the budget.
+    // Whether a request without an attempt in flight is retried. May spend from the budget.
     bool may_retry(const RequestState& request);
-    // Whether a hedged request may be sent now. Spends from the budget.
+    // Whether a hedged request may be sent now. Spends from the budget if so.
     bool may_hedge() { return budget_.try_spend(context_.now); }
-    // Whether a repeat by the client does no harm.
+    // Whether a retry by the client is safe.
     bool client_may_repeat(const RequestState& request) const;
 
   private:
--- a/src/decisions/settings_validation.cpp
+++ b/src/decisions/settings_validation.cpp
@@ -1,4 +1,4 @@
-// Whether settings can work at all.
+// Checks that an engine can run with the settings.
 #include <algorithm>
 #include <stdexcept>
 
--- a/src/decisions/stall_detector.h
+++ b/src/decisions/stall_detector.h
@@ -1,6 +1,6 @@
-// Detects that this process itself was held up: its heartbeat timer came far too late. In the
-// backlog found then, the own delay looks like unresponsive endpoints and slow responses, so
-// nothing is judged by it.
+// Detects stalls of this process by an overdue heartbeat timer. Events that queued up during a
+// stall make endpoints look unresponsive and responses look slow, so no conclusions are drawn from
+// them.
 #pragma once
 
 #include <chrono>
@@ -12,10 +12,11 @@
 class StallDetector {
   public:
     static constexpr Micros heartbeat_period{100'000};
-    static constexpr Micros stall_threshold{300'000};  // without a heartbeat
+    static constexpr Micros stall_threshold{300'000};  // longest time without a heartbeat
 
     bool started() const { return last_heartbeat_ > Micros{0}; }
-    // True while the heartbeat is overdue, and at the very time at which a late one came.
+    // True while the heartbeat is overdue, and for events at the time of a heartbeat that was
+    // overdue.
     bool stalled(Micros now) const {
         return now == stalled_at_ || now - last_heartbeat_ > stall_threshold;
     }
--- a/src/decisions/timer_token.h
+++ b/src/decisions/timer_token.h
@@ -1,20 +1,20 @@
-// Tokens of the timers that the decision engine starts: what a timer is for, and what it is about.
+// Tokens of the timers that the decision engine starts: the kind of the timer and its subject.
 #pragma once
 
 #include <cstdint>
 
 namespace silverreach {
 
-// The order is part of the token; new kinds go to the end.
+// The values are part of the tokens; new kinds are added at the end.
 enum class TimerKind : std::uint64_t {
-    request_deadline,  // subject: request id; the client's deadline is due
-    pacing_delay,      // subject: request id; the warming-up limiter lets it go
-    attempt_check,     // subject: request id; a response to its last attempt is overdue
-    queue_timeout,     // subject: request id; a queued request is looked at again
-    lease_request,     // subject: nonce of the lease request that is unanswered
-    health_check,      // subject: request id; its endpoints' health checks took long enough
-    peer_outbox,       // subject: rank of the peer; held back messages may go out
-    heartbeat,         // subject: 0; the periodic tick
+    request_deadline,  // subject: request id; the client's deadline is reached
+    pacing_delay,      // subject: request id; the delay by the warming-up limiter ends
+    attempt_check,     // subject: request id; checks whether its last attempt is overdue
+    queue_timeout,     // subject: request id; a queued request is dispatched again
+    lease_request,     // subject: nonce; the lease request is not answered in time
+    health_check,      // subject: request id; the wait for its health checks ends
+    peer_outbox,       // subject: rank of the peer; delayed messages may be sent
+    heartbeat,         // subject: 0; fires every StallDetector::heartbeat_period
 };
 inline constexpr std::uint64_t timer_kind_count = 8;
 
