--- a/src/decisions/admission/admission_control.cpp
+++ b/src/decisions/admission/admission_control.cpp
@@ -6,17 +6,18 @@
 namespace silverreach {
 namespace {
 // Time reserved for the response.
-constexpr double response_margin = 1.3;      // as a factor on the expected response time
-constexpr double max_response_margin = 0.8;  // as a share of the time left
+constexpr double response_margin_factor = 1.3;  // of the expected response time
+constexpr double max_margin_share = 0.8;        // of the remaining time
 }  // namespace
 
 Micros AdmissionControl::latest_start(const RequestArrived& arrival) const {
     const RequestClass& request_class = context_.settings.classes[arrival.request_class];
-    const double left_s =
+    const double remaining_s =
         seconds(std::min(arrival.time_remaining, request_class.latency_objective));
     const double expected_s = context_.traffic.expected_response_s(std::max(0.0, arrival.units));
-    const double margin_s = std::min(response_margin * expected_s, max_response_margin * left_s);
-    return context_.now + micros(left_s - margin_s);
+    const double margin_s =
+        std::min(response_margin_factor * expected_s, max_margin_share * remaining_s);
+    return context_.now + micros(remaining_s - margin_s);
 }
 
 QuotaDecision AdmissionControl::check_quota(const RequestState& request) const {
@@ -48,15 +49,17 @@
     if (quota_.missing_ceiling_units(customer, request.arrival.units) > 0)
         return Rejection{RejectReason::ceiling_reached, shortage.retry_after};
     const Plan& plan = *quota_.plan_of(customer);
-    const bool pays = plan.excess_weight_factor > plan.excess_cost_factor;
-    if (pays && overload_detector_.has_spare_capacity() && queue_.empty()) return std::nullopt;
+    const bool weight_exceeds_cost = plan.excess_weight_factor > plan.excess_cost_factor;
+    if (weight_exceeds_cost && overload_detector_.has_spare_capacity() && queue_.empty())
+        return std::nullopt;
     return shortage;
 }
 
 Pacing AdmissionControl::pace(const RequestState& request) {
     CustomerQuota& customer = *request.customer;
     const Plan* plan = quota_.plan_of(customer);
-    if (!plan || !overload_detector_.overloaded() || plan->rate <= 0 || plan->burst <= 0) return {};
+    if (!plan || !overload_detector_.is_overloaded() || plan->rate <= 0 || plan->burst <= 0)
+        return {};
     const double stable_s = 1 / (plan->rate * quota_.demand_share(customer));
     const double warmup_s = plan->burst / plan->rate;
     customer.limiter.refill(context_.now, stable_s, warmup_s);
--- a/src/decisions/admission/admission_control.h
+++ b/src/decisions/admission/admission_control.h
@@ -30,8 +30,8 @@
 };
 
 struct Pacing {
-    Micros delay{0};        // until the request may be sent
-    bool too_late = false;  // the delay exceeds the latest start; nothing is reserved
+    Micros delay{0};           // until the request may be sent
+    bool is_too_late = false;  // the delay exceeds the latest start; nothing is reserved
 };
 
 class AdmissionControl {
--- a/src/decisions/admission/admission_queue.h
+++ b/src/decisions/admission/admission_queue.h
@@ -17,7 +17,7 @@
     // are dropped lazily.
     explicit AdmissionQueue(RequestTable& requests) : requests_(requests) {}
 
-    bool empty() const { return ids_.empty(); }
+    bool empty() const { return request_ids_.empty(); }
     // Queues the request unless it is queued already.
     void push(RequestState& request);
     // Removes the oldest entry if the queue is longer than `endpoint_count` allows. Returns its
@@ -27,17 +27,18 @@
     // returns whether the request has left the queue.
     template <typename TrySend>
     void dispatch_queued(Micros now, TrySend try_send) {
-        for (std::size_t i = ids_.size(); i-- > 0;) {
-            const auto it = requests_.find(ids_[i]);
-            const bool is_queued = it != requests_.end() && it->second.queued;
-            if (is_queued && !(now <= it->second.latest_start && try_send(it->second))) continue;
-            ids_.erase(ids_.begin() + static_cast<std::ptrdiff_t>(i));
+        for (std::size_t i = request_ids_.size(); i-- > 0;) {
+            const auto it = requests_.find(request_ids_[i]);
+            const bool is_still_queued = it != requests_.end() && it->second.is_queued;
+            if (is_still_queued && !(now <= it->second.latest_start && try_send(it->second)))
+                continue;
+            request_ids_.erase(request_ids_.begin() + static_cast<std::ptrdiff_t>(i));
         }
     }
 
   private:
     RequestTable& requests_;
-    std::deque<RequestId> ids_;  // oldest first
+    std::deque<RequestId> request_ids_;  // oldest first
 };
 
 }  // namespace silverreach
--- a/src/decisions/decaying_counter.h
+++ b/src/decisions/decaying_counter.h
@@ -18,17 +18,17 @@
         static_cast<std::int64_t>(std::clamp(duration_s, 0.0, max_duration_s) * 1e6));
 }
 
-// A sum whose terms decay exponentially. `memory_s` is the time constant of the decay in seconds;
-// all calls must pass the same one. value() / memory_s is the recent rate per second.
+// A sum whose terms decay exponentially. All calls must pass the same `time_constant_s`, in
+// seconds. value() / time_constant_s is the recent rate per second.
 struct DecayingCounter {
     double amount = 0;  // at `updated_at`
     std::chrono::microseconds updated_at{0};
 
-    double value(std::chrono::microseconds now, double memory_s) const {
-        return amount * std::exp(-seconds(now - updated_at) / memory_s);
+    double value(std::chrono::microseconds now, double time_constant_s) const {
+        return amount * std::exp(-seconds(now - updated_at) / time_constant_s);
     }
-    void add(double term, std::chrono::microseconds now, double memory_s) {
-        amount = value(now, memory_s) + term;
+    void add(double term, std::chrono::microseconds now, double time_constant_s) {
+        amount = value(now, time_constant_s) + term;
         updated_at = now;
     }
 };
--- a/src/decisions/decision_engine.cpp
+++ b/src/decisions/decision_engine.cpp
@@ -44,7 +44,7 @@
     void handle(Micros now, const Event& event, std::vector<Action>& actions) {
         context_.begin_event(now, actions);
         if (!context_.stall_detector.started()) on_heartbeat();
-        std::visit([this](const auto& specific) { on(specific); }, event);
+        std::visit([this](const auto& specific_event) { on(specific_event); }, event);
         quota_.flush_outboxes();
     }
 
@@ -122,8 +122,8 @@
         context_.stall_detector.on_heartbeat(context_.now);
         context_.start_timer(StallDetector::heartbeat_period, TimerKind::heartbeat, 0);
         quota_.on_heartbeat();
-        if (context_.now - swept_at_ < state_sweep_period) return;
-        swept_at_ = context_.now;
+        if (context_.now - last_sweep_at_ < state_sweep_period) return;
+        last_sweep_at_ = context_.now;
         load_balancer_.refresh_endpoints();
         clear_candidates();
         quota_.remove_idle();
@@ -146,17 +146,17 @@
 
     void admit(RequestState& request) {
         const Pacing pacing = admission_.pace(request);
-        if (pacing.too_late)
+        if (pacing.is_too_late)
             return dispatcher_.reject(request, RejectReason::overloaded, pacing.delay);
         request.reservation =
-            quota_.reserve(*request.customer, request.arrival.units, request.within_quota);
+            quota_.reserve(*request.customer, request.arrival.units, request.is_within_quota);
         if (pacing.delay <= 0us) return dispatcher_.dispatch(request);
         context_.start_timer(pacing.delay, TimerKind::pacing_delay, request.arrival.id);
     }
     void admit_excess_or_reject(RequestState& request, const Rejection& shortage) {
         if (const auto rejection = admission_.check_excess(request, shortage))
             return dispatcher_.reject(request, rejection->reason, rejection->retry_after);
-        request.within_quota = false;
+        request.is_within_quota = false;
         admit(request);
     }
 
@@ -197,7 +197,7 @@
     AdmissionQueue queue_;
     AdmissionControl admission_;
     RequestDispatcher dispatcher_;
-    Micros swept_at_{0};
+    Micros last_sweep_at_{0};
 };
 
 DecisionEngine::DecisionEngine(Settings settings, std::uint64_t seed, Micros now)
--- a/src/decisions/dispatch/request_dispatcher.cpp
+++ b/src/decisions/dispatch/request_dispatcher.cpp
@@ -25,11 +25,12 @@
 void RequestDispatcher::dispatch(RequestState& request) {
     const Micros now = context_.now;
     if (now <= request.latest_start && try_send(request)) return;
-    if (now >= request.latest_start) return give_up(request);
+    if (now >= request.latest_start) return end_without_success(request);
     queue_.push(request);
     context_.start_timer(std::min(queue_recheck_period, request.latest_start - now),
                          TimerKind::queue_timeout, request.arrival.id);
-    if (RequestState* oldest = queue_.pop_excess(load_balancer_.endpoint_count())) give_up(*oldest);
+    if (RequestState* oldest = queue_.pop_excess(load_balancer_.endpoint_count()))
+        end_without_success(*oldest);
 }
 
 void RequestDispatcher::dispatch_queued() {
@@ -45,17 +46,17 @@
     return placement.status != PlacementStatus::no_capacity;
 }
 
-void RequestDispatcher::send_to_best_checked(RequestState& request) {
-    Endpoint* best = load_balancer_.best_checked(request);
+void RequestDispatcher::send_to_best_checked_candidate(RequestState& request) {
+    Endpoint* best = load_balancer_.best_checked_candidate(request);
     if (best && context_.now <= request.latest_start) return send_attempt(request, *best);
-    request.checking_health = false;
+    request.is_checking_health = false;
     dispatch(request);
 }
 
 void RequestDispatcher::send_attempt(RequestState& request, Endpoint& endpoint) {
     CustomerQuota& customer = *request.customer;
     const double units = request.arrival.units;
-    quota_.on_attempt_sent(customer, request.reservation, units, !request.sent);
+    quota_.on_attempt_sent(customer, request.reservation, units, !request.was_sent);
     retry_policy_.on_attempt_sent(request);
     request.on_attempt_sent(endpoint.entry.id, context_.now);
     ++customer.attempts_in_flight;
@@ -72,7 +73,7 @@
     CustomerQuota& customer = *request.customer;
     request.attempts_in_flight = std::max(0, request.attempts_in_flight - 1);
     customer.attempts_in_flight = std::max(0, customer.attempts_in_flight - 1);
-    if (request.within_quota)
+    if (request.is_within_quota)
         quota_.correct_units(customer, request.arrival.units, ended.actual_units);
     if (ended.request_completed) return remove(request);
     retry_policy_.on_attempt_failed(request, ended.outcome, endpoint);
@@ -80,33 +81,33 @@
     if (retry_policy_.may_retry(request))
         dispatch(request);
     else
-        give_up(request);
+        end_without_success(request);
 }
 
 void RequestDispatcher::on_health_check_ended(RequestState& request, Endpoint& endpoint,
                                               bool succeeded) {
-    if (!request.checking_health || !request.candidates.contains(endpoint)) return;
+    if (!request.is_checking_health || !request.candidates.contains(endpoint)) return;
     --request.pending_health_checks;
-    if (succeeded && load_balancer_.is_idle_match(request, endpoint))
+    if (succeeded && load_balancer_.is_idle_candidate(request, endpoint))
         send_attempt(request, endpoint);
     else if (request.pending_health_checks <= 0)
-        send_to_best_checked(request);
+        send_to_best_checked_candidate(request);
 }
 
 void RequestDispatcher::on_timer(TimerKind kind, RequestState& request) {
     switch (kind) {
         case TimerKind::request_deadline:
-            return give_up(request);
+            return end_without_success(request);
         case TimerKind::pacing_delay:
             return dispatch(request);
         case TimerKind::attempt_check:
             return check_overdue_attempt(request);
         case TimerKind::queue_timeout:
-            if (!request.queued) return;
+            if (!request.is_queued) return;
             request.health_check_rounds = 0;
             return dispatch(request);
         case TimerKind::health_check:
-            if (request.checking_health) send_to_best_checked(request);
+            if (request.is_checking_health) send_to_best_checked_candidate(request);
             return;
         case TimerKind::lease_request:
         case TimerKind::peer_outbox:
@@ -116,7 +117,7 @@
 }
 
 void RequestDispatcher::check_overdue_attempt(RequestState& request) {
-    if (request.attempts_in_flight == 0 || request.queued) return;
+    if (request.attempts_in_flight == 0 || request.is_queued) return;
     Endpoint* endpoint = load_balancer_.find(request.last_endpoint);
     if (!endpoint) return;
     const OverdueDecision decision = overdue_check_.check(request, *endpoint);
@@ -135,24 +136,24 @@
 }
 
 // A rejection tells the client that it may repeat the request; a failure does not.
-void RequestDispatcher::give_up(RequestState& request) {
+void RequestDispatcher::end_without_success(RequestState& request) {
     if (!retry_policy_.client_may_repeat(request)) {
         context_.emit(FailRequest{request.arrival.id});
         return remove(request);
     }
-    if (request.sent) return reject(request, RejectReason::no_response, 0us);
+    if (request.was_sent) return reject(request, RejectReason::no_response, 0us);
     reject(request, RejectReason::no_endpoint, micros(context_.traffic.mean_response_s));
 }
 
 void RequestDispatcher::reject(RequestState& request, RejectReason reason, Micros retry_after) {
     context_.emit(RejectRequest{request.arrival.id,
-                                retry_after_advice(context_.settings, retry_after), reason});
+                                limited_retry_after(context_.settings, retry_after), reason});
     remove(request);
 }
 
 void RequestDispatcher::remove(RequestState& request) {
     CustomerQuota& customer = *request.customer;
-    if (!request.sent) quota_.release(customer, request.reservation);
+    if (!request.was_sent) quota_.release(customer, request.reservation);
     --customer.open_requests;
     const RequestId id = request.arrival.id;
     requests_.erase(id);
--- a/src/decisions/dispatch/request_dispatcher.h
+++ b/src/decisions/dispatch/request_dispatcher.h
@@ -49,10 +49,10 @@
 
   private:
     bool try_send(RequestState& request);
-    void send_to_best_checked(RequestState& request);
+    void send_to_best_checked_candidate(RequestState& request);
     void send_attempt(RequestState& request, Endpoint& endpoint);
     void check_overdue_attempt(RequestState& request);
-    void give_up(RequestState& request);
+    void end_without_success(RequestState& request);
 
     DecisionContext& context_;
     RequestTable& requests_;
--- a/src/decisions/load_balancing/attempt_assessment.cpp
+++ b/src/decisions/load_balancing/attempt_assessment.cpp
@@ -11,17 +11,18 @@
                          const DecisionContext& context, double latency_objective_s) {
     const bool timed_out = ended.outcome == Outcome::timeout;
     const bool was_fast = is_fast(seconds(ended.duration), latency_objective_s);
-    const Micros last_response_age = context.now - endpoint.last_response;
-    const bool slow_timeout = timed_out && last_response_age < ended.duration && !was_fast;
-    const bool fleet_fast = is_fast(context.traffic.mean_response_s, latency_objective_s);
+    const Micros last_response_age = context.now - endpoint.last_response_at;
+    const bool is_slow_timeout = timed_out && last_response_age < ended.duration && !was_fast;
+    const bool is_overall_fast = is_fast(context.traffic.mean_response_s, latency_objective_s);
 
     AttemptAssessment assessment;
-    assessment.success = ended.outcome == Outcome::success;
-    assessment.overload_sign = !fleet_fast && (ended.outcome == Outcome::rejected || slow_timeout);
-    assessment.lowers_limit = assessment.overload_sign || (assessment.success && !was_fast);
-    assessment.slow =
+    assessment.is_success = ended.outcome == Outcome::success;
+    assessment.is_overload_sign =
+        !is_overall_fast && (ended.outcome == Outcome::rejected || is_slow_timeout);
+    assessment.lowers_limit = assessment.is_overload_sign || (assessment.is_success && !was_fast);
+    assessment.is_slow =
         ended.outcome == Outcome::rejected || is_slow(seconds(ended.duration), latency_objective_s);
-    assessment.unresponsive = timed_out && last_response_age > ended.duration;
+    assessment.is_unresponsive = timed_out && last_response_age > ended.duration;
     return assessment;
 }
 
--- a/src/decisions/load_balancing/attempt_assessment.h
+++ b/src/decisions/load_balancing/attempt_assessment.h
@@ -7,17 +7,17 @@
 namespace silverreach {
 
 struct AttemptAssessment {
-    bool success = false;
+    bool is_success = false;
     // A rejection, or a timeout at an endpoint that responds to other attempts, while the mean
     // response time is not fast.
-    bool overload_sign = false;
+    bool is_overload_sign = false;
     bool lowers_limit = false;  // a sign of overload, or a success that is not fast
-    bool slow = false;          // a rejection, or an attempt of any outcome that took long
+    bool is_slow = false;       // a rejection, or an attempt of any outcome that took long
     // A timeout at an endpoint that has not responded since the attempt was sent.
-    bool unresponsive = false;
+    bool is_unresponsive = false;
 };
 
-// `latency_objective_s`: of the attempt's request. Call this after `last_response` and the mean
+// `latency_objective_s`: of the attempt's request. Call this after `last_response_at` and the mean
 // response time are updated with the attempt.
 AttemptAssessment assess(const AttemptEnded& ended, const Endpoint& endpoint,
                          const DecisionContext& context, double latency_objective_s);
--- a/src/decisions/load_balancing/endpoint_selector.h
+++ b/src/decisions/load_balancing/endpoint_selector.h
@@ -16,7 +16,7 @@
   public:
     EndpointSelector(const DecisionContext& context, RandomSource& random, EndpointTable& endpoints,
                      SlowStart& slow_start, const InFlightEstimator& estimator,
-                     const ConcurrencyLimiter& limiter, const OutlierDetector& outliers,
+                     const ConcurrencyLimiter& limiter, const OutlierDetector& outlier_detector,
                      const HealthChecker& health_checker);
 
     // Empty if no endpoint can take the request. An endpoint in slow start that is admitted is the
@@ -24,7 +24,7 @@
     CandidateList select_candidates(const RequestState& request);
     // The candidate with the lowest cost that can take the request after its health checks, or
     // null.
-    Endpoint* best_checked(const RequestState& request) const;
+    Endpoint* best_checked_candidate(const RequestState& request) const;
 
   private:
     // Grows with the expected response time of one more request at the endpoint. `in_flight`: its
@@ -42,7 +42,7 @@
     SlowStart& slow_start_;
     const InFlightEstimator& estimator_;
     const ConcurrencyLimiter& limiter_;
-    const OutlierDetector& outliers_;
+    const OutlierDetector& outlier_detector_;
     const HealthChecker& health_checker_;
 };
 
--- a/src/decisions/load_balancing/endpoint_table.cpp
+++ b/src/decisions/load_balancing/endpoint_table.cpp
@@ -13,7 +13,7 @@
         for (auto& [id, endpoint] : endpoints_)
             endpoint.entry.status = EndpointStatus::removed;
     for (const EndpointEntry& entry : change.endpoints)
-        apply(entry);
+        apply_entry(entry);
     std::erase_if(endpoints_, [](const auto& item) {
         const Endpoint& endpoint = item.second;
         return endpoint.entry.status == EndpointStatus::removed && endpoint.attempts_in_flight == 0;
@@ -21,7 +21,7 @@
     refresh();
 }
 
-void EndpointTable::apply(const EndpointEntry& entry) {
+void EndpointTable::apply_entry(const EndpointEntry& entry) {
     const auto [it, is_new] = endpoints_.try_emplace(entry.id);
     Endpoint& endpoint = it->second;
     if (is_new || entry.started_at != endpoint.entry.started_at) {
@@ -29,27 +29,29 @@
         const int attempts_in_flight = endpoint.attempts_in_flight;
         endpoint = Endpoint{};
         endpoint.attempts_in_flight = attempts_in_flight;
-        endpoint.last_considered = context_.now;
-        endpoint.last_response = context_.now;
-        endpoint.order_key = hash_name(entry.id + ' ' + std::to_string(context_.settings.rank));
+        endpoint.last_decision_at = context_.now;
+        endpoint.last_response_at = context_.now;
+        endpoint.preference_key =
+            hash_name(entry.id + ' ' + std::to_string(context_.settings.rank));
     }
     endpoint.entry = entry;
-    endpoint.slow_start_began = slow_start_tracker_.began(entry, context_.now);
+    endpoint.slow_start_began_at = slow_start_tracker_.record_entry(entry, context_.now);
 }
 
 void EndpointTable::refresh() {
-    order_.clear();
+    preference_order_.clear();
     warm_count_ = 0;
     for (auto& [id, endpoint] : endpoints_) {
-        slow_start_tracker_.still_listed(id, context_.now);
-        order_.push_back(&endpoint);
+        slow_start_tracker_.mark_listed(id, context_.now);
+        preference_order_.push_back(&endpoint);
         if (endpoint.entry.status == EndpointStatus::available &&
             capacity_share(endpoint, context_.settings, context_.now) >= 1)
             ++warm_count_;
     }
-    std::stable_sort(order_.begin(), order_.end(), [](const Endpoint* left, const Endpoint* right) {
-        return left->order_key < right->order_key;
-    });
+    std::stable_sort(preference_order_.begin(), preference_order_.end(),
+                     [](const Endpoint* left, const Endpoint* right) {
+                         return left->preference_key < right->preference_key;
+                     });
 }
 
 Endpoint* EndpointTable::find(const std::string& id) {
--- a/src/decisions/load_balancing/endpoint_table.h
+++ b/src/decisions/load_balancing/endpoint_table.h
@@ -29,23 +29,23 @@
     // Rebuilds the order, counts the warm endpoints again and keeps the start times of known
     // endpoints from expiring.
     void refresh();
-    void forget_old_starts() { slow_start_tracker_.forget_old(context_.now); }
+    void drop_expired_start_times() { slow_start_tracker_.drop_expired(context_.now); }
 
     // Null if the endpoint is not known.
     Endpoint* find(const std::string& id);
-    std::size_t size() const { return order_.size(); }
+    std::size_t size() const { return preference_order_.size(); }
     // Endpoints past their slow start, as of the last update or refresh.
     std::size_t warm_count() const { return warm_count_; }
     // All endpoints, preferred ones first. The selector shuffles the preferred ones.
-    std::vector<Endpoint*>& order() { return order_; }
+    std::vector<Endpoint*>& preference_order() { return preference_order_; }
 
   private:
-    void apply(const EndpointEntry& entry);
+    void apply_entry(const EndpointEntry& entry);
 
     const DecisionContext& context_;
     SlowStartTracker slow_start_tracker_;
     std::map<std::string, Endpoint> endpoints_;
-    std::vector<Endpoint*> order_;
+    std::vector<Endpoint*> preference_order_;
     std::size_t warm_count_ = 0;
 };
 
--- a/src/decisions/load_balancing/health_checker.h
+++ b/src/decisions/load_balancing/health_checker.h
@@ -19,8 +19,11 @@
     static constexpr int max_rounds = 2;                // rounds of checks for one request
 
     HealthChecker(DecisionContext& context, const InFlightEstimator& estimator,
-                  const ConcurrencyLimiter& limiter, const OutlierDetector& outliers)
-        : context_(context), estimator_(estimator), limiter_(limiter), outliers_(outliers) {}
+                  const ConcurrencyLimiter& limiter, const OutlierDetector& outlier_detector)
+        : context_(context),
+          estimator_(estimator),
+          limiter_(limiter),
+          outlier_detector_(outlier_detector) {}
 
     // Whether the endpoint's own statistics suffice to send an attempt without a check.
     bool has_sufficient_samples(const Endpoint& endpoint) const {
@@ -41,7 +44,7 @@
     DecisionContext& context_;
     const InFlightEstimator& estimator_;
     const ConcurrencyLimiter& limiter_;
-    const OutlierDetector& outliers_;
+    const OutlierDetector& outlier_detector_;
 };
 
 }  // namespace silverreach
--- a/src/decisions/load_balancing/in_flight_window.h
+++ b/src/decisions/load_balancing/in_flight_window.h
@@ -20,7 +20,7 @@
     // random number.
     bool is_open() { return attempts_in_flight_ + random_.uniform() < size(); }
     // Attempts of all instances that may be in flight at an average endpoint.
-    double fleet_limit() const { return fleet_limit_; }
+    double mean_endpoint_limit() const { return mean_endpoint_limit_; }
 
     void on_attempt_sent() { ++attempts_in_flight_; }
     void on_attempt_ended() { --attempts_in_flight_; }
@@ -28,14 +28,14 @@
     void on_outcome(const AttemptAssessment& assessment);
 
   private:
-    static constexpr double initial_fleet_limit = 2;
+    static constexpr double initial_mean_endpoint_limit = 2;
 
     double size() const;
 
     const DecisionContext& context_;
     const EndpointTable& endpoints_;
     RandomSource& random_;
-    double fleet_limit_ = initial_fleet_limit;
+    double mean_endpoint_limit_ = initial_mean_endpoint_limit;
     int attempts_in_flight_ = 0;  // of this instance, at all endpoints
 };
 
--- a/src/decisions/load_balancing/load_balancer.cpp
+++ b/src/decisions/load_balancing/load_balancer.cpp
@@ -9,12 +9,12 @@
 // Weight of the first response in its endpoint's mean; the rest is the mean over all endpoints.
 constexpr double first_response_weight = 0.2;
 
-void add_response(Endpoint& endpoint, double response_s, double fleet_mean_s) {
+void add_response(Endpoint& endpoint, double response_s, double overall_mean_s) {
     double& mean_s = endpoint.mean_response_s;
     if (mean_s > 0)
         mean_s += response_sample_weight * (response_s - mean_s);
-    else if (fleet_mean_s > 0)
-        mean_s = (1 - first_response_weight) * fleet_mean_s + first_response_weight * response_s;
+    else if (overall_mean_s > 0)
+        mean_s = (1 - first_response_weight) * overall_mean_s + first_response_weight * response_s;
     else
         mean_s = response_s;
 }
@@ -27,13 +27,13 @@
       estimator_(context, endpoints_),
       window_(context, endpoints_, random),
       limiter_(context, estimator_, window_),
-      outliers_(context),
-      health_checker_(context, estimator_, limiter_, outliers_),
-      selector_(context, random, endpoints_, slow_start_, estimator_, limiter_, outliers_,
+      outlier_detector_(context),
+      health_checker_(context, estimator_, limiter_, outlier_detector_),
+      selector_(context, random, endpoints_, slow_start_, estimator_, limiter_, outlier_detector_,
                 health_checker_) {}
 
 void LoadBalancer::refresh_endpoints() {
-    endpoints_.forget_old_starts();
+    endpoints_.drop_expired_start_times();
     endpoints_.refresh();
 }
 
@@ -51,15 +51,15 @@
     return {PlacementStatus::health_checks_in_flight, nullptr};
 }
 
-bool LoadBalancer::is_idle_match(const RequestState& request, const Endpoint& endpoint) const {
-    return endpoint.reported_idle && health_checker_.has_capacity(endpoint) &&
+bool LoadBalancer::is_idle_candidate(const RequestState& request, const Endpoint& endpoint) const {
+    return endpoint.is_reported_idle && health_checker_.has_capacity(endpoint) &&
            may_run_at(context_, request, endpoint);
 }
 
 void LoadBalancer::on_attempt_sent(Endpoint& endpoint, const RequestState& request) {
     estimator_.on_attempt_sent(endpoint);
     // Without attempts in flight no response was expected: the wait for a response starts now.
-    if (endpoint.attempts_in_flight++ == 0) endpoint.last_response = context_.now;
+    if (endpoint.attempts_in_flight++ == 0) endpoint.last_response_at = context_.now;
     window_.on_attempt_sent();
     slow_start_.on_attempt_sent(endpoint, request.arrival.units, endpoints_.warm_count());
 }
@@ -76,7 +76,7 @@
     if (report.queued_requests >= 0 || report.in_flight_requests >= 0)
         estimator_.on_load_report(endpoint, report);
     if (ended.outcome == Outcome::success || ended.outcome == Outcome::error)
-        endpoint.last_response = context_.now;
+        endpoint.last_response_at = context_.now;
     const double objective_s = request ? latency_objective_s(context_.settings, *request)
                                        : default_latency_objective_s(context_.settings);
     std::optional<AttemptAssessment> assessment;
@@ -86,7 +86,7 @@
     // While responses are fast, a rejection is attributed to this kind of request and not to load.
     if (ended.outcome == Outcome::rejected &&
         is_fast(context_.traffic.mean_response_s, objective_s))
-        outliers_.on_rejected(endpoint, request->kind);
+        outlier_detector_.on_rejected(endpoint, request->kind);
     if (ended.outcome == Outcome::success)
         OutlierDetector::on_success(endpoint, request->arrival.request_class);
     return assessment;
@@ -100,10 +100,10 @@
         context_.traffic.add_response(duration_s);
     }
     const AttemptAssessment assessment = assess(ended, endpoint, context_, latency_objective_s);
-    endpoint.responses.add(1, context_.now, response_memory_s);
+    endpoint.responses.add(1, context_.now, response_decay_s);
     limiter_.on_outcome(endpoint, assessment);
     window_.on_outcome(assessment);
-    outliers_.on_outcome(endpoint, ended.outcome, assessment);
+    outlier_detector_.on_outcome(endpoint, ended.outcome, assessment);
     return assessment;
 }
 
--- a/src/decisions/load_balancing/load_balancer.h
+++ b/src/decisions/load_balancing/load_balancer.h
@@ -41,17 +41,17 @@
     // Null if the endpoint is not known.
     Endpoint* find(const std::string& endpoint) { return endpoints_.find(endpoint); }
     std::size_t endpoint_count() const { return endpoints_.size(); }
-    const OutlierDetector& outlier_detector() const { return outliers_; }
+    const OutlierDetector& outlier_detector() const { return outlier_detector_; }
 
     // Chooses the endpoint for an attempt, or starts health checks of the request's candidates.
     Placement place(RequestState& request);
     // The best candidate after health checks, or null if none can take the request.
-    Endpoint* best_checked(const RequestState& request) const {
-        return selector_.best_checked(request);
+    Endpoint* best_checked_candidate(const RequestState& request) const {
+        return selector_.best_checked_candidate(request);
     }
     // Whether the request can be sent to the endpoint without waiting for the check of its other
     // candidate. Call this after a successful health check of the endpoint.
-    bool is_idle_match(const RequestState& request, const Endpoint& endpoint) const;
+    bool is_idle_candidate(const RequestState& request, const Endpoint& endpoint) const;
 
     void on_attempt_sent(Endpoint& endpoint, const RequestState& request);
     // `request`: null if it already has its final response. Returns no assessment while this
@@ -75,7 +75,7 @@
     InFlightEstimator estimator_;
     InFlightWindow window_;
     ConcurrencyLimiter limiter_;
-    OutlierDetector outliers_;
+    OutlierDetector outlier_detector_;
     HealthChecker health_checker_;
     EndpointSelector selector_;
 };
--- a/src/decisions/load_balancing/outlier_detector.cpp
+++ b/src/decisions/load_balancing/outlier_detector.cpp
@@ -9,26 +9,26 @@
 constexpr int consecutive_failures_to_eject = 3;
 constexpr Micros base_ejection_time = 500ms;
 constexpr int max_ejection_doublings = 4;  // up to 8 s
-constexpr Micros failed_health_check_pause = 250ms;
+constexpr Micros failed_health_check_ejection_time = 250ms;
 constexpr Micros avoidance_time = 20s;
-constexpr int overdue_to_avoid_class = 2;  // in a row
+constexpr int consecutive_overdue_to_avoid_class = 2;  // in a row
 }  // namespace
 
 void OutlierDetector::on_outcome(Endpoint& endpoint, Outcome outcome,
                                  const AttemptAssessment& assessment) const {
-    if (assessment.success) {
-        endpoint.failures = 0;
-        endpoint.ejections = 0;
+    if (assessment.is_success) {
+        endpoint.consecutive_failures = 0;
+        endpoint.consecutive_ejections = 0;
     }
     // A reset may affect a single connection; a failed connect affects the endpoint.
-    if (outcome == Outcome::error || outcome == Outcome::reset || assessment.unresponsive)
+    if (outcome == Outcome::error || outcome == Outcome::reset || assessment.is_unresponsive)
         add_failures(endpoint, 1);
     if (outcome == Outcome::connect_failed) eject(endpoint);
 }
 
 void OutlierDetector::on_health_check_failed(Endpoint& endpoint) const {
     endpoint.ejected_until =
-        std::max(endpoint.ejected_until, context_.now + failed_health_check_pause);
+        std::max(endpoint.ejected_until, context_.now + failed_health_check_ejection_time);
 }
 
 void OutlierDetector::eject(Endpoint& endpoint) const {
@@ -36,11 +36,12 @@
 }
 
 void OutlierDetector::add_failures(Endpoint& endpoint, int count) const {
-    endpoint.failures += count;
-    if (endpoint.failures < consecutive_failures_to_eject || is_ejected(endpoint)) return;
-    const int doublings = std::min(endpoint.ejections, max_ejection_doublings);
+    endpoint.consecutive_failures += count;
+    if (endpoint.consecutive_failures < consecutive_failures_to_eject || is_ejected(endpoint))
+        return;
+    const int doublings = std::min(endpoint.consecutive_ejections, max_ejection_doublings);
     endpoint.ejected_until = context_.now + base_ejection_time * (1 << doublings);
-    ++endpoint.ejections;
+    ++endpoint.consecutive_ejections;
 }
 
 void OutlierDetector::on_rejected(Endpoint& endpoint, int kind) const {
@@ -49,12 +50,12 @@
 
 void OutlierDetector::on_success(Endpoint& endpoint, int request_class) {
     const auto it = endpoint.unanswered_classes.find(request_class);
-    if (it != endpoint.unanswered_classes.end()) it->second.overdue_in_row = 0;
+    if (it != endpoint.unanswered_classes.end()) it->second.consecutive_overdue = 0;
 }
 
 void OutlierDetector::on_class_overdue(Endpoint& endpoint, int request_class) const {
     UnansweredClass& unanswered = endpoint.unanswered_classes[request_class];
-    if (++unanswered.overdue_in_row >= overdue_to_avoid_class)
+    if (++unanswered.consecutive_overdue >= consecutive_overdue_to_avoid_class)
         unanswered.avoided_until = context_.now + avoidance_time;
 }
 
--- a/src/decisions/load_balancing/slow_start.cpp
+++ b/src/decisions/load_balancing/slow_start.cpp
@@ -8,20 +8,20 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr double warm_rate_memory_s = 30;
+constexpr double warm_rate_decay_s = 30;
 constexpr double warm_time_prior_s = 5;  // keeps the rate low while little warm time is known
 // Share of the rate that would overload the endpoint. The margin allows for requests that cost more
 // than their units.
-constexpr double slow_start_caution = 0.5;
+constexpr double safe_rate_share = 0.5;
 // Limit of the time since the last decision on an endpoint, or since the last attempt sent.
-constexpr Micros max_credited_time = 5s;
+constexpr Micros max_elapsed_time = 5s;
 }  // namespace
 
 bool SlowStart::admit_during_slow_start(Endpoint& endpoint, double units) {
-    const double rate = slow_start_caution * context_.settings.overload_factor *
+    const double rate = safe_rate_share * context_.settings.overload_factor *
                         capacity_share(endpoint, context_.settings, context_.now) * warm_rate_;
-    const Micros last = std::exchange(endpoint.last_considered, context_.now);
-    const Micros elapsed = std::min(context_.now - last, max_credited_time);
+    const Micros previous_decision_at = std::exchange(endpoint.last_decision_at, context_.now);
+    const Micros elapsed = std::min(context_.now - previous_decision_at, max_elapsed_time);
     return random_.uniform() * std::max(units, 1e-3) < rate * seconds(elapsed);
 }
 
@@ -29,13 +29,13 @@
 // load of the few warm endpoints while most are in slow start.
 void SlowStart::on_attempt_sent(const Endpoint& endpoint, double units, std::size_t warm_count) {
     const Micros now = context_.now;
-    const auto used = static_cast<double>(std::min(warm_count, preferred_endpoints));
-    const Micros elapsed = std::min(now - std::exchange(last_sent_, now), max_credited_time);
-    warm_time_s_.add(used * seconds(elapsed), now, warm_rate_memory_s);
+    const auto used_warm_count = static_cast<double>(std::min(warm_count, preferred_endpoints));
+    const Micros elapsed = std::min(now - std::exchange(last_sent_at_, now), max_elapsed_time);
+    warm_time_s_.add(used_warm_count * seconds(elapsed), now, warm_rate_decay_s);
     if (capacity_share(endpoint, context_.settings, now) >= 1)
-        warm_units_.add(units, now, warm_rate_memory_s);
-    const double time_s = warm_time_s_.value(now, warm_rate_memory_s) + warm_time_prior_s;
-    warm_rate_ = warm_units_.value(now, warm_rate_memory_s) / time_s;
+        warm_units_.add(units, now, warm_rate_decay_s);
+    const double warm_time_s = warm_time_s_.value(now, warm_rate_decay_s) + warm_time_prior_s;
+    warm_rate_ = warm_units_.value(now, warm_rate_decay_s) / warm_time_s;
 }
 
 }  // namespace silverreach
--- a/src/decisions/load_balancing/slow_start.h
+++ b/src/decisions/load_balancing/slow_start.h
@@ -13,12 +13,13 @@
 
 // Share of its full capacity that the endpoint has reached at its age; 1 once it is warm.
 inline double capacity_share(const Endpoint& endpoint, const Settings& settings, Micros now) {
-    if (endpoint.slow_start_began <= Micros{0} || settings.slow_start_window <= Micros{0}) return 1;
-    const double age =
-        seconds(now - endpoint.slow_start_began) / seconds(settings.slow_start_window);
-    if (age >= 1) return 1;
-    const double initial = settings.initial_capacity_share;
-    return initial + (1 - initial) * std::max(0.0, age);
+    if (endpoint.slow_start_began_at <= Micros{0} || settings.slow_start_window <= Micros{0})
+        return 1;
+    const double relative_age =
+        seconds(now - endpoint.slow_start_began_at) / seconds(settings.slow_start_window);
+    if (relative_age >= 1) return 1;
+    const double initial_share = settings.initial_capacity_share;
+    return initial_share + (1 - initial_share) * std::max(0.0, relative_age);
 }
 
 class SlowStart {
@@ -37,7 +38,7 @@
   private:
     const DecisionContext& context_;
     RandomSource& random_;
-    Micros last_sent_{0};
+    Micros last_sent_at_{0};
     DecayingCounter warm_units_;   // units sent to warm endpoints
     DecayingCounter warm_time_s_;  // seconds for which endpoints were warm, summed over endpoints
     double warm_rate_ = 0;         // units per second that a warm endpoint gets from this instance
--- a/src/decisions/request_state.h
+++ b/src/decisions/request_state.h
@@ -30,14 +30,14 @@
     Micros latest_start{0};  // a later attempt is expected to miss the latency objective
 
     Reservation reservation;
-    bool within_quota = true;  // false: admitted as excess
+    bool is_within_quota = true;  // false: admitted as excess
 
-    bool sent = false;             // at least one attempt was sent
-    bool queued = false;           // waits in the admission queue
-    bool checking_health = false;  // waits for health checks of `candidates`
+    bool was_sent = false;            // at least one attempt was sent
+    bool is_queued = false;           // waits in the admission queue
+    bool is_checking_health = false;  // waits for health checks of `candidates`
     int attempts = 0;
     int attempts_in_flight = 0;
-    Micros last_sent{0};
+    Micros last_sent_at{0};
     std::string last_endpoint;
 
     bool may_have_run = false;
@@ -48,13 +48,13 @@
     int pending_health_checks = 0;
 
     void on_attempt_sent(const std::string& endpoint, Micros now) {
-        sent = true;
-        queued = false;
-        checking_health = false;
+        was_sent = true;
+        is_queued = false;
+        is_checking_health = false;
         health_check_rounds = 0;
         ++attempts;
         ++attempts_in_flight;
-        last_sent = now;
+        last_sent_at = now;
         last_endpoint = endpoint;
     }
 };
--- a/src/decisions/retry/deduplication.h
+++ b/src/decisions/retry/deduplication.h
@@ -22,8 +22,8 @@
 // its first attempt that may have run.
 inline bool deduplication_window_open(const RequestClass& request_class, Micros first_sent_at,
                                       Micros now) {
-    const Micros guard = std::min(max_process_pause, request_class.deduplication_window / 2);
-    return now - first_sent_at < request_class.deduplication_window - guard;
+    const Micros pause_margin = std::min(max_process_pause, request_class.deduplication_window / 2);
+    return now - first_sent_at < request_class.deduplication_window - pause_margin;
 }
 
 // Whether two endpoints recognize repeats of each other's requests.
--- a/src/decisions/retry/overdue_attempt_check.h
+++ b/src/decisions/retry/overdue_attempt_check.h
@@ -26,8 +26,8 @@
 
 class OverdueAttemptCheck {
   public:
-    OverdueAttemptCheck(const DecisionContext& context, const OutlierDetector& outliers)
-        : context_(context), outliers_(outliers) {}
+    OverdueAttemptCheck(const DecisionContext& context, const OutlierDetector& outlier_detector)
+        : context_(context), outlier_detector_(outlier_detector) {}
 
     // Time from sending an attempt to its first check.
     Micros first_check_delay(const RequestState& request) const;
@@ -44,7 +44,7 @@
     double usual_response_s(const Endpoint& endpoint) const;
 
     const DecisionContext& context_;
-    const OutlierDetector& outliers_;
+    const OutlierDetector& outlier_detector_;
 };
 
 }  // namespace silverreach
--- a/src/decisions/retry/retry_policy.h
+++ b/src/decisions/retry/retry_policy.h
@@ -25,7 +25,7 @@
 
     // Call this before the request's state is updated with the attempt.
     void on_attempt_sent(const RequestState& request) {
-        if (!request.sent) budget_.on_first_attempt(context_.now);
+        if (!request.was_sent) budget_.on_first_attempt(context_.now);
     }
     // Records whether the attempt may have run. `endpoint`: null if it is no longer known.
     void on_attempt_failed(RequestState& request, Outcome outcome, const Endpoint* endpoint) const;
--- a/tests/decisions/admission/overload_detector_test.cpp
+++ b/tests/decisions/admission/overload_detector_test.cpp
@@ -51,26 +51,26 @@
 TEST(OverloadDetector, RecoversAtALowerShareOfSlowResponsesThanItBegins) {
     OverloadDetector detector;
     EXPECT_TRUE(detector.has_spare_capacity());
-    const AttemptAssessment slow{.success = true, .slow = true};
-    const AttemptAssessment fast{.success = true};
+    const AttemptAssessment slow{.is_success = true, .is_slow = true};
+    const AttemptAssessment fast{.is_success = true};
     int slow_count = 0;
-    while (!detector.overloaded()) {
+    while (!detector.is_overloaded()) {
         ASSERT_LT(slow_count, 100);
         detector.on_outcome(slow);
         ++slow_count;
     }
     EXPECT_FALSE(detector.has_spare_capacity());
     detector.on_outcome(fast);
-    EXPECT_TRUE(detector.overloaded()) << "one fast response does not end the overload";
+    EXPECT_TRUE(detector.is_overloaded()) << "one fast response does not end the overload";
     for (int response = 0; response < 10; ++response)
         detector.on_outcome(fast);
-    EXPECT_FALSE(detector.overloaded());
+    EXPECT_FALSE(detector.is_overloaded());
     EXPECT_FALSE(detector.has_spare_capacity());
 }
 
 TEST(OverloadDetector, FailureWithoutASignOfOverloadDoesNotCount) {
     OverloadDetector detector;
     for (int attempt = 0; attempt < 100; ++attempt)
-        detector.on_outcome({.slow = true});
-    EXPECT_FALSE(detector.overloaded());
+        detector.on_outcome({.is_slow = true});
+    EXPECT_FALSE(detector.is_overloaded());
 }
--- a/tests/decisions/load_balancing/outlier_detector_test.cpp
+++ b/tests/decisions/load_balancing/outlier_detector_test.cpp
@@ -182,7 +182,7 @@
     detector.eject(endpoint);
     EXPECT_EQ(endpoint.ejected_until, context.now + 1s);
     context.now = endpoint.ejected_until;
-    detector.on_outcome(endpoint, Outcome::success, {.success = true});
+    detector.on_outcome(endpoint, Outcome::success, {.is_success = true});
     detector.eject(endpoint);
     EXPECT_EQ(endpoint.ejected_until, context.now + 500ms);
 }
--- a/tests/decisions/load_balancing/slow_start_test.cpp
+++ b/tests/decisions/load_balancing/slow_start_test.cpp
@@ -146,7 +146,7 @@
     const Settings settings = single_instance_settings();  // 0.2 at first, warm after 10 s
     Endpoint endpoint;
     EXPECT_EQ(capacity_share(endpoint, settings, engine_start), 1) << "started long ago";
-    endpoint.slow_start_began = engine_start;
+    endpoint.slow_start_began_at = engine_start;
     EXPECT_DOUBLE_EQ(capacity_share(endpoint, settings, engine_start), 0.2);
     EXPECT_DOUBLE_EQ(capacity_share(endpoint, settings, engine_start + 5s), 0.6);
     EXPECT_EQ(capacity_share(endpoint, settings, engine_start + 10s), 1);
--- a/tests/decisions/load_balancing/slow_start_tracker_test.cpp
+++ b/tests/decisions/load_balancing/slow_start_tracker_test.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Micros boot = 1000h;  // of this instance, by its wall clock
+constexpr Micros instance_started_at = 1000h;  // of this instance, by its wall clock
 EndpointEntry endpoint_started_at(const std::string& id, Micros started_at) {
     EndpointEntry entry;
     entry.id = id;
@@ -19,40 +19,48 @@
 }  // namespace
 
 TEST(SlowStartTracker, InitialEndpointsKeepTheirReportedStartTime) {
-    SlowStartTracker tracker(boot);
-    EXPECT_EQ(tracker.began(endpoint_started_at("a", 0us), boot), 0us);
-    EXPECT_EQ(tracker.began(endpoint_started_at("b", boot - 10min), boot), boot - 10min);
-    EXPECT_EQ(tracker.began(endpoint_started_at("c", boot + 1h), boot + 5ms), boot + 5ms)
+    SlowStartTracker tracker(instance_started_at);
+    EXPECT_EQ(tracker.record_entry(endpoint_started_at("a", 0us), instance_started_at), 0us);
+    EXPECT_EQ(tracker.record_entry(endpoint_started_at("b", instance_started_at - 10min),
+                                   instance_started_at),
+              instance_started_at - 10min);
+    EXPECT_EQ(tracker.record_entry(endpoint_started_at("c", instance_started_at + 1h),
+                                   instance_started_at + 5ms),
+              instance_started_at + 5ms)
         << "ahead of our clock";
 }
 
 TEST(SlowStartTracker, EndpointAddedLaterStartsNowWhateverItsClock) {
     for (const Micros clock_error : {Micros(-1h), Micros(0), Micros(1h)}) {
-        SlowStartTracker tracker(boot);
-        tracker.began(endpoint_started_at("a", 0us), boot);
-        const Micros now = boot + 5s;
-        EXPECT_EQ(tracker.began(endpoint_started_at("b", now + clock_error), now), now);
-        EXPECT_EQ(tracker.began(endpoint_started_at("b", now + clock_error), now + 3s), now)
+        SlowStartTracker tracker(instance_started_at);
+        tracker.record_entry(endpoint_started_at("a", 0us), instance_started_at);
+        const Micros now = instance_started_at + 5s;
+        EXPECT_EQ(tracker.record_entry(endpoint_started_at("b", now + clock_error), now), now);
+        EXPECT_EQ(tracker.record_entry(endpoint_started_at("b", now + clock_error), now + 3s), now)
             << "a repeated entry does not restart it";
-        EXPECT_EQ(tracker.began(endpoint_started_at("c", 0us), now), 0us)
+        EXPECT_EQ(tracker.record_entry(endpoint_started_at("c", 0us), now), 0us)
             << "started long ago, as it reports";
     }
 }
 
 TEST(SlowStartTracker, ChangedStartTimeRestartsSlowStart) {
-    SlowStartTracker tracker(boot);
-    tracker.began(endpoint_started_at("a", 0us), boot);
-    tracker.began(endpoint_started_at("b", boot - 1h), boot);
-    EXPECT_EQ(tracker.began(endpoint_started_at("a", boot - 2h), boot + 100ms), boot + 100ms);
-    EXPECT_EQ(tracker.began(endpoint_started_at("b", boot - 2h), boot + 8s), boot + 8s);
+    SlowStartTracker tracker(instance_started_at);
+    tracker.record_entry(endpoint_started_at("a", 0us), instance_started_at);
+    tracker.record_entry(endpoint_started_at("b", instance_started_at - 1h), instance_started_at);
+    EXPECT_EQ(tracker.record_entry(endpoint_started_at("a", instance_started_at - 2h),
+                                   instance_started_at + 100ms),
+              instance_started_at + 100ms);
+    EXPECT_EQ(tracker.record_entry(endpoint_started_at("b", instance_started_at - 2h),
+                                   instance_started_at + 8s),
+              instance_started_at + 8s);
 }
 
 TEST(SlowStartTracker, RemovedEndpointIsRememberedForTenMinutes) {
-    SlowStartTracker tracker(boot);
-    const Micros seen = boot + 5s;
-    tracker.began(endpoint_started_at("a", seen), seen);
-    tracker.forget_old(seen + 599s);
-    EXPECT_EQ(tracker.began(endpoint_started_at("a", seen), seen + 599s), seen);
-    tracker.forget_old(seen + 599s + 601s);
-    EXPECT_EQ(tracker.began(endpoint_started_at("a", seen), seen + 2000s), seen + 2000s);
+    SlowStartTracker tracker(instance_started_at);
+    const Micros seen = instance_started_at + 5s;
+    tracker.record_entry(endpoint_started_at("a", seen), seen);
+    tracker.drop_expired(seen + 599s);
+    EXPECT_EQ(tracker.record_entry(endpoint_started_at("a", seen), seen + 599s), seen);
+    tracker.drop_expired(seen + 599s + 601s);
+    EXPECT_EQ(tracker.record_entry(endpoint_started_at("a", seen), seen + 2000s), seen + 2000s);
 }
