--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -213,11 +213,11 @@
 // What the rules stopped, and what went past them: the last three stay 0.
 log::Fields Node::rule_fields() const {
     const core::Counters& c = core_->counters();
-    log::Fields fields{{"stopped_choices", whole(c.blocked_choices.sum())},
-                       {"stopped_handovers", whole(c.blocked_sends.sum())}};
+    log::Fields fields{{"stopped_choices", whole(c.blocked_choices.total())},
+                       {"stopped_handovers", whole(c.blocked_sends.total())}};
     for (std::size_t i = 0; i < rules::block_reason_count; ++i) {
         const auto reason = static_cast<rules::BlockReason>(i);
-        const std::uint64_t stops = c.blocked_choices.of(reason) + c.blocked_sends.of(reason);
+        const std::uint64_t stops = c.blocked_choices.count(reason) + c.blocked_sends.count(reason);
         if (stops > 0) fields.emplace_back(rules::to_string(reason), whole(stops));
     }
     fields.emplace_back("late_answers", whole(c.late_responses));
--- a/src/core/request_coordinator.cpp
+++ b/src/core/request_coordinator.cpp
@@ -86,7 +86,7 @@
     if (!attempt || attempt->ended) return std::nullopt;
     const Request& request = *requests_.find(key.request);
     const auto index = static_cast<std::size_t>(key.attempt);
-    if (const rules::Verdict blocked = rules_.check_send(now, request.record, index)) {
+    if (const rules::CheckResult blocked = rules_.check_send(now, request.record, index)) {
         counters_.blocked_sends.add(*blocked);
         environment_.on_attempt_blocked(key, attempt->endpoint, *blocked);
         return std::nullopt;
@@ -189,7 +189,7 @@
     if (!request) return report_not_started(true);
     rules::RequestRecord& record = request->record;
     const AttemptKey key{action.id, static_cast<int>(record.attempts.size())};
-    if (const rules::Verdict blocked = rules_.check_start(now, record, action.endpoint)) {
+    if (const rules::CheckResult blocked = rules_.check_start(now, record, action.endpoint)) {
         counters_.blocked_choices.add(*blocked);
         environment_.on_attempt_blocked(key, action.endpoint, *blocked);
         return report_not_started(request->state != RequestState::pending ||
--- a/src/decisions/decision_context.h
+++ b/src/decisions/decision_context.h
@@ -34,8 +34,8 @@
 // Owned by the engine; its parts hold references. Used by one thread like the engine.
 class DecisionContext {
   public:
-    DecisionContext(Settings engine_settings, Micros started_at)
-        : settings(std::move(engine_settings)), boot(started_at) {}
+    DecisionContext(Settings engine_settings, Micros start_time)
+        : settings(std::move(engine_settings)), started_at(start_time) {}
 
     // Begins the handling of an event at clock time `event_time`. `output` must outlive the
     // handling; emit() appends actions to it.
@@ -54,8 +54,8 @@
     }
 
     const Settings settings;
-    const Micros boot;  // clock time at which this instance started
-    Micros now{0};      // clock time of the event that is being handled
+    const Micros started_at;  // clock time at which this instance started
+    Micros now{0};            // clock time of the event that is being handled
     StallDetector stall_detector;
     TrafficStatistics traffic;
 
--- a/src/decisions/decision_engine.cpp
+++ b/src/decisions/decision_engine.cpp
@@ -43,7 +43,7 @@
 
     void handle(Micros now, const Event& event, std::vector<Action>& actions) {
         context_.begin_event(now, actions);
-        if (!context_.stall_detector.started()) on_heartbeat();
+        if (!context_.stall_detector.has_started()) on_heartbeat();
         std::visit([this](const auto& specific_event) { on(specific_event); }, event);
         quota_.flush_outboxes();
     }
--- a/src/decisions/load_balancing/endpoint_table.h
+++ b/src/decisions/load_balancing/endpoint_table.h
@@ -21,7 +21,7 @@
 class EndpointTable {
   public:
     explicit EndpointTable(const DecisionContext& context)
-        : context_(context), slow_start_tracker_(context.boot) {}
+        : context_(context), slow_start_tracker_(context.started_at) {}
 
     // Applies an endpoint list or its changes. Resets the state of an endpoint with a new start
     // time.
--- a/src/decisions/load_balancing/load_balancer.cpp
+++ b/src/decisions/load_balancing/load_balancer.cpp
@@ -80,7 +80,7 @@
     const double objective_s = request ? latency_objective_s(context_.settings, *request)
                                        : default_latency_objective_s(context_.settings);
     std::optional<AttemptAssessment> assessment;
-    if (!context_.stall_detector.stalled(context_.now))
+    if (!context_.stall_detector.is_stalled(context_.now))
         assessment = record_outcome(endpoint, ended, objective_s);
     if (!request) return assessment;
     // While responses are fast, a rejection is attributed to this kind of request and not to load.
--- a/src/decisions/quota/customer_quota.cpp
+++ b/src/decisions/quota/customer_quota.cpp
@@ -22,7 +22,7 @@
       terms_(terms),
       subset_{customer_hash},
       plan_(plan),
-      refilled_at_(context.boot),
+      refilled_at_(context.started_at),
       demand_(context.now) {}
 
 const Plan* CustomerQuota::plan() const {
--- a/src/decisions/quota/lease_client.cpp
+++ b/src/decisions/quota/lease_client.cpp
@@ -92,7 +92,7 @@
 void LeaseClient::on_request_timeout(std::uint32_t nonce) {
     const auto it = in_flight_.find(nonce);
     if (it == in_flight_.end()) return;
-    if (context_.stall_detector.stalled(context_.now))
+    if (context_.stall_detector.is_stalled(context_.now))
         return context_.start_timer(min_request_timeout, TimerKind::lease_request, nonce);
     mailbox_.on_request_lost(it->second.rank);
     request_lease(end_request(it));
--- a/src/decisions/quota/quota_ledger.cpp
+++ b/src/decisions/quota/quota_ledger.cpp
@@ -55,7 +55,7 @@
     : context_(context),
       terms_(terms),
       units_(initial_burst_share * plan.burst),
-      refilled_at_(context.boot) {}
+      refilled_at_(context.started_at) {}
 
 LeaseGrant QuotaLedger::grant(const LeaseRequest& request, int rank) {
     const GrantInput input = input_for(request, rank);
@@ -84,7 +84,7 @@
     const int holder_count = static_cast<int>(holders_.size()) + (is_known ? 0 : 1);
     const std::uint32_t last_nonce = is_known ? known->second.last_nonce : 0;
     const CustomerSubset subset{request.customer_hash, request.subset_size, request.subset_start};
-    Micros leases_known_at = context_.boot;
+    Micros leases_known_at = context_.started_at;
     if (holder_count < request.subset_size)
         leases_known_at += LeaseTerms::lease_lifetime(terms_.renewal_period(request.subset_size));
     return {
--- a/src/decisions/retry/attempt_rules.cpp
+++ b/src/decisions/retry/attempt_rules.cpp
@@ -20,7 +20,7 @@
     return names[static_cast<std::size_t>(reason)];
 }
 
-std::uint64_t BlockCounters::sum() const {
+std::uint64_t BlockCounters::total() const {
     return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
 }
 
@@ -45,45 +45,46 @@
     return attempt;
 }
 
-Verdict AttemptRules::check_start(Micros now, const RequestRecord& request,
-                                  const std::string& endpoint) const {
-    if (const Verdict blocked = check_request_open(now, request)) return blocked;
-    if (const Verdict blocked = check_endpoint(endpoint)) return blocked;
+CheckResult AttemptRules::check_start(Micros now, const RequestRecord& request,
+                                      const std::string& endpoint) const {
+    if (const CheckResult blocked = check_request_open(now, request)) return blocked;
+    if (const CheckResult blocked = check_endpoint(endpoint)) return blocked;
     if (request.attempts.size() >= static_cast<std::size_t>(settings_.max_attempts))
         return BlockReason::max_attempts_reached;
     const AttemptRecord next = make_attempt(endpoint, now);
     for (const AttemptRecord& earlier : request.attempts)
-        if (const Verdict blocked = check_earlier_attempt(now, request, earlier, next))
+        if (const CheckResult blocked = check_earlier_attempt(now, request, earlier, next))
             return blocked;
     return std::nullopt;
 }
 
-Verdict AttemptRules::check_send(Micros now, const RequestRecord& request,
-                                 std::size_t attempt) const {
-    if (const Verdict blocked = check_request_open(now, request)) return blocked;
+CheckResult AttemptRules::check_send(Micros now, const RequestRecord& request,
+                                     std::size_t attempt) const {
+    if (const CheckResult blocked = check_request_open(now, request)) return blocked;
     const AttemptRecord& next = request.attempts.at(attempt);
-    if (const Verdict blocked = check_endpoint(next.endpoint)) return blocked;
+    if (const CheckResult blocked = check_endpoint(next.endpoint)) return blocked;
     for (std::size_t i = 0; i < request.attempts.size(); ++i) {
         if (i == attempt) continue;
-        if (const Verdict blocked = check_earlier_attempt(now, request, request.attempts[i], next))
+        if (const CheckResult blocked =
+                check_earlier_attempt(now, request, request.attempts[i], next))
             return blocked;
     }
     return std::nullopt;
 }
 
-Verdict AttemptRules::check_close(const ConnectionRecord& connection) {
+CheckResult AttemptRules::check_close(const ConnectionRecord& connection) {
     if (connection.client_disconnected || connection.pending_requests == 0) return std::nullopt;
     return BlockReason::requests_pending;
 }
 
-Verdict AttemptRules::check_request_open(Micros now, const RequestRecord& request) {
+CheckResult AttemptRules::check_request_open(Micros now, const RequestRecord& request) {
     if (request.answered) return BlockReason::answered;
     if (request.client_disconnected) return BlockReason::client_disconnected;
     if (now >= request.deadline) return BlockReason::deadline_exceeded;
     return std::nullopt;
 }
 
-Verdict AttemptRules::check_endpoint(const std::string& endpoint) const {
+CheckResult AttemptRules::check_endpoint(const std::string& endpoint) const {
     const auto it = endpoints_.find(endpoint);
     if (it == endpoints_.end() || it->second.status != EndpointStatus::available)
         return BlockReason::endpoint_unavailable;
@@ -91,9 +92,9 @@
 }
 
 // Checks whether `next` may follow an earlier attempt, or be in flight at the same time.
-Verdict AttemptRules::check_earlier_attempt(Micros now, const RequestRecord& request,
-                                            const AttemptRecord& earlier,
-                                            const AttemptRecord& next) const {
+CheckResult AttemptRules::check_earlier_attempt(Micros now, const RequestRecord& request,
+                                                const AttemptRecord& earlier,
+                                                const AttemptRecord& next) const {
     if (earlier.in_flight() && !settings_.may_hedge) return BlockReason::attempt_in_flight;
     if (!earlier.may_have_run()) return std::nullopt;
     const RequestClass& request_class =
--- a/src/decisions/retry/attempt_rules.h
+++ b/src/decisions/retry/attempt_rules.h
@@ -24,8 +24,10 @@
 class BlockCounters {
   public:
     void add(BlockReason reason) { ++counts_[static_cast<std::size_t>(reason)]; }
-    std::uint64_t of(BlockReason reason) const { return counts_[static_cast<std::size_t>(reason)]; }
-    std::uint64_t sum() const;
+    std::uint64_t count(BlockReason reason) const {
+        return counts_[static_cast<std::size_t>(reason)];
+    }
+    std::uint64_t total() const;
 
   private:
     std::array<std::uint64_t, block_reason_count> counts_{};
@@ -59,7 +61,7 @@
     bool client_disconnected = false;  // closed or broken by the client
 };
 
-using Verdict = std::optional<BlockReason>;  // no value: allowed
+using CheckResult = std::optional<BlockReason>;  // no value: allowed
 
 class AttemptRules {
   public:
@@ -70,13 +72,13 @@
     AttemptRecord make_attempt(const std::string& endpoint, Micros now) const;
 
     // Checks whether a further attempt of the request may start at the endpoint.
-    Verdict check_start(Micros now, const RequestRecord& request,
-                        const std::string& endpoint) const;
+    CheckResult check_start(Micros now, const RequestRecord& request,
+                            const std::string& endpoint) const;
     // Checks whether the bytes of an attempt may be sent. `attempt`: index into the request's
     // attempts; throws std::out_of_range if there is no such attempt.
-    Verdict check_send(Micros now, const RequestRecord& request, std::size_t attempt) const;
+    CheckResult check_send(Micros now, const RequestRecord& request, std::size_t attempt) const;
     // Checks whether this instance may close a client's connection.
-    static Verdict check_close(const ConnectionRecord& connection);
+    static CheckResult check_close(const ConnectionRecord& connection);
 
   private:
     struct KnownEndpoint {
@@ -84,10 +86,11 @@
         std::string zone;
         std::int64_t cell = 0;
     };
-    static Verdict check_request_open(Micros now, const RequestRecord& request);
-    Verdict check_endpoint(const std::string& endpoint) const;
-    Verdict check_earlier_attempt(Micros now, const RequestRecord& request,
-                                  const AttemptRecord& earlier, const AttemptRecord& next) const;
+    static CheckResult check_request_open(Micros now, const RequestRecord& request);
+    CheckResult check_endpoint(const std::string& endpoint) const;
+    CheckResult check_earlier_attempt(Micros now, const RequestRecord& request,
+                                      const AttemptRecord& earlier,
+                                      const AttemptRecord& next) const;
 
     const Settings settings_;
     std::unordered_map<std::string, KnownEndpoint> endpoints_;  // by id; without removed endpoints
--- a/src/decisions/retry/overdue_attempt_check.cpp
+++ b/src/decisions/retry/overdue_attempt_check.cpp
@@ -24,7 +24,7 @@
 }
 
 OverdueDecision OverdueAttemptCheck::check(const RequestState& request, Endpoint& endpoint) {
-    if (context_.stall_detector.stalled(context_.now))
+    if (context_.stall_detector.is_stalled(context_.now))
         return {OverdueAction::check_again, StallDetector::heartbeat_period};
     return endpoint.last_response_at > request.last_sent_at ? check_responsive(request, endpoint)
                                                             : check_unresponsive(request, endpoint);
--- a/src/decisions/stall_detector.h
+++ b/src/decisions/stall_detector.h
@@ -14,15 +14,15 @@
     static constexpr Micros heartbeat_period{100'000};
     static constexpr Micros stall_threshold{300'000};  // longest time without a heartbeat
 
-    bool started() const { return last_heartbeat_ > Micros{0}; }
+    bool has_started() const { return last_heartbeat_ > Micros{0}; }
     // True while the heartbeat is overdue, and for events at the time of a heartbeat that was
     // overdue.
-    bool stalled(Micros now) const {
+    bool is_stalled(Micros now) const {
         return now == stalled_at_ || now - last_heartbeat_ > stall_threshold;
     }
     // Called when the heartbeat timer fires.
     void on_heartbeat(Micros now) {
-        if (started() && stalled(now)) stalled_at_ = now;
+        if (has_started() && is_stalled(now)) stalled_at_ = now;
         last_heartbeat_ = now;
     }
 
--- a/tests/decisions/quota/lease_client_test.cpp
+++ b/tests/decisions/quota/lease_client_test.cpp
@@ -121,42 +121,42 @@
 
 TEST(StandingLease, RefillsWithoutFurtherGrants) {
     LeaseHolderHarness holder;
-    RequestId last_id = holder.use_steadily(steady_use, 0, half_of_quota);
+    RequestId last_id = holder.send_steady_load(steady_use, 0, half_of_quota);
     for (int request = 0; request < 15; ++request) {  // half of the quota refills at 20 units/s
         holder.instance.advance(100ms);
-        EXPECT_EQ(holder.count_sent_at_once(last_id, 1), 1) << request;
+        EXPECT_EQ(holder.count_sent_immediately(last_id, 1), 1) << request;
     }
 }
 
 TEST(StandingLease, ExpiresWithoutRenewal) {
     LeaseHolderHarness holder(large_fleet);
-    RequestId last_id = holder.use_steadily(steady_use, 0, half_of_quota);
+    RequestId last_id = holder.send_steady_load(steady_use, 0, half_of_quota);
     holder.instance.advance(2500ms);  // it expires on the way
-    holder.count_sent_at_once(last_id, 1000);
+    holder.count_sent_immediately(last_id, 1000);
     holder.instance.advance(1s);
-    EXPECT_EQ(holder.count_sent_at_once(last_id, 20), 0);
+    EXPECT_EQ(holder.count_sent_immediately(last_id, 20), 0);
 }
 
 TEST(StandingLease, IsNotEndedByASuccessorsGrant) {
     LeaseHolderHarness holder(3);
-    RequestId last_id = holder.use_steadily(steady_use, 0, half_of_quota);
+    RequestId last_id = holder.send_steady_load(steady_use, 0, half_of_quota);
     const int successor = 3 - holder.owner - holder.settings.rank;
     holder.instance.handle(
         PeerMessageReceived{successor, encode({LeaseGrant{.nonce = 1, .demand_rate = 1}})});
     holder.instance.advance(500ms);
-    EXPECT_GE(holder.count_sent_at_once(last_id, 8), 8);
+    EXPECT_GE(holder.count_sent_immediately(last_id, 8), 8);
 }
 
 TEST(StandingLease, RequestsOverTheQuotaAreRejectedWithoutWaitingForAGrant) {
     LeaseHolderHarness holder(2, 4, 4);
-    RequestId last_id = holder.use_steadily(steady_use, 0, half_of_quota);
-    holder.count_sent_at_once(last_id, 50);
+    RequestId last_id = holder.send_steady_load(steady_use, 0, half_of_quota);
+    holder.count_sent_immediately(last_id, 50);
     EXPECT_EQ(actions_of<RejectRequest>(holder.arrive(++last_id)).size(), 1u);
 }
 
 TEST(StandingLease, UnusedUnitsAreReturned) {
     LeaseHolderHarness holder;
-    holder.use_steadily(steady_use, 0, half_of_quota);
+    holder.send_steady_load(steady_use, 0, half_of_quota);
     double returned_units = 0;
     for (const LeaseRequest& request : lease_requests_to(holder.owner, holder.instance.advance(2s)))
         returned_units += request.returned_units;
@@ -165,7 +165,7 @@
 
 TEST(StandingLease, IdleCustomersUnresponsiveOwnerIsRequestedSeldom) {
     LeaseHolderHarness holder(large_fleet);
-    holder.use_steadily(steady_use, 0, half_of_quota);
+    holder.send_steady_load(steady_use, 0, half_of_quota);
     const auto request_count = lease_requests_to(holder.owner, holder.instance.advance(10s)).size();
     EXPECT_GE(request_count, 1u);
     EXPECT_LE(request_count, 60u);
--- a/tests/decisions/stall_detector_test.cpp
+++ b/tests/decisions/stall_detector_test.cpp
@@ -36,18 +36,18 @@
 TEST(StallDetector, DetectsAnOverdueHeartbeatUntilTheNextOne) {
     StallDetector detector;
     detector.on_heartbeat(1s);
-    EXPECT_FALSE(detector.stalled(1s + StallDetector::stall_threshold));
+    EXPECT_FALSE(detector.is_stalled(1s + StallDetector::stall_threshold));
     const Micros late = 1s + StallDetector::stall_threshold + 1us;
-    EXPECT_TRUE(detector.stalled(late));
+    EXPECT_TRUE(detector.is_stalled(late));
     detector.on_heartbeat(late);
-    EXPECT_TRUE(detector.stalled(late)) << "events of the same time were read after the stall";
-    EXPECT_FALSE(detector.stalled(late + 1us));
+    EXPECT_TRUE(detector.is_stalled(late)) << "events of the same time were read after the stall";
+    EXPECT_FALSE(detector.is_stalled(late + 1us));
 }
 
 TEST(StallDetector, FirstHeartbeatIsNoStall) {
     StallDetector detector;
-    EXPECT_FALSE(detector.started());
+    EXPECT_FALSE(detector.has_started());
     detector.on_heartbeat(1h);
-    EXPECT_TRUE(detector.started());
-    EXPECT_FALSE(detector.stalled(1h));
+    EXPECT_TRUE(detector.has_started());
+    EXPECT_FALSE(detector.is_stalled(1h));
 }
--- a/tests/decisions/support/lease_holder_harness.cpp
+++ b/tests/decisions/support/lease_holder_harness.cpp
@@ -56,8 +56,8 @@
     return instance.handle(PeerMessageReceived{owner, encode({lease})});
 }
 
-RequestId LeaseHolderHarness::use_steadily(Micros duration, RequestId last_id,
-                                           double standing_share) {
+RequestId LeaseHolderHarness::send_steady_load(Micros duration, RequestId last_id,
+                                               double standing_share) {
     constexpr Micros request_interval = 100ms;
     for (Micros elapsed{0}; elapsed < duration; elapsed += request_interval) {
         auto caused = instance.advance(request_interval);
@@ -75,7 +75,7 @@
     return last_id;
 }
 
-int LeaseHolderHarness::count_sent_at_once(RequestId& last_id, int count) {
+int LeaseHolderHarness::count_sent_immediately(RequestId& last_id, int count) {
     int sent = 0;
     for (int request = 0; request < count; ++request) {
         for (const SendAttempt& attempt : actions_of<SendAttempt>(arrive(++last_id))) {
--- a/tests/decisions/support/lease_holder_harness.h
+++ b/tests/decisions/support/lease_holder_harness.h
@@ -27,9 +27,9 @@
     std::vector<Action> grant(const LeaseRequest& request, LeaseGrant lease);
     // Ten requests per second; each lease request is granted all units that it asks for and a
     // standing lease of `standing_share` of the quota, 0 to 1. Returns the last request id.
-    RequestId use_steadily(Micros duration, RequestId last_id, double standing_share);
+    RequestId send_steady_load(Micros duration, RequestId last_id, double standing_share);
     // Sends `count` requests; returns how many attempts were sent at once. Updates `last_id`.
-    int count_sent_at_once(RequestId& last_id, int count);
+    int count_sent_immediately(RequestId& last_id, int count);
 
     Settings settings;
     int owner;
