--- a/include/silverreach/interface.h
+++ b/include/silverreach/interface.h
@@ -88,7 +88,7 @@
     bool may_send_retry_after = false;
     Micros max_retry_after{0};                 // longest Retry-After; 0: no limit
     double peer_messages_per_second = 0;       // that one instance accepts from all peers together
-    bool units_corrected_by_response = false;  // by AttemptEnded::actual_units
+    bool units_corrected_by_response = false;  // AttemptEnded::actual_units replaces the estimate
     LoadReportMode load_report_mode = LoadReportMode::none;
     // Timers, and the behaviour and cost of endpoints.
     Micros timer_tick{0};         // resolution of the host program's timers
--- a/src/decisions/settings_validation.cpp
+++ b/src/decisions/settings_validation.cpp
@@ -13,14 +13,14 @@
 
 void validate(const Settings& settings) {
     require(settings.rank >= 0 && settings.rank < settings.instance_count,
-            "settings: rank must lie within instances");
-    require(settings.max_attempts >= 1, "settings: max_attempts must be 1 at least");
+            "settings: rank must be at least 0 and below instance_count");
+    require(settings.max_attempts >= 1, "settings: max_attempts must be at least 1");
     for (const Plan& plan : settings.plans)
         require(std::min({plan.rate, plan.burst, plan.ceiling_rate, plan.ceiling_burst}) >= 0,
-                "settings: plan figures below 0");
+                "settings: rates and bursts of a plan must not be negative");
     for (const RequestClass& request_class : settings.classes)
         require(request_class.deadline.count() > 0 && request_class.latency_objective.count() > 0,
-                "settings: a class needs a latency objective and a deadline above 0");
+                "settings: deadline and latency_objective of a request class must be above 0");
 }
 
 }  // namespace silverreach
--- a/tests/decisions/admission/admission_control_test.cpp
+++ b/tests/decisions/admission/admission_control_test.cpp
@@ -1,4 +1,4 @@
-// Each request gets a final response by its deadline, and rejections carry a usable Retry-After.
+// Every request gets a final response by its deadline, and Retry-After is limited.
 #include <gtest/gtest.h>
 
 #include "tests/decisions/support/engine_harness.h"
@@ -15,7 +15,7 @@
               1u);
 }
 
-TEST(AdmissionControl, RequestIsRejectedWhereThereIsNoEndpoint) {
+TEST(AdmissionControl, RequestIsRejectedWithoutEndpoints) {
     EngineHarness harness(single_instance_settings(), {});
     harness.arrive({.id = 1});
     EXPECT_EQ(actions_of<RejectRequest>(harness.advance(2s)).size(), 1u);
--- a/tests/decisions/admission/admission_queue_test.cpp
+++ b/tests/decisions/admission/admission_queue_test.cpp
@@ -1,4 +1,4 @@
-// Requests that are queued because every endpoint is at its concurrency limit.
+// The queue of requests that wait because every endpoint is at its concurrency limit.
 #include "decisions/admission/admission_queue.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Sends requests until one is queued; returns that one's id.
+// Sends requests until one is queued; returns its id.
 RequestId fill_endpoints(EngineHarness& harness) {
     RequestId id = 1;
     while (!actions_of<SendAttempt>(harness.arrive({.id = id})).empty())
@@ -21,13 +21,13 @@
 }
 }  // namespace
 
-// In order of arrival, every request of a long queue would be sent at its last moment.
+// In order of arrival, every request of a long queue would be sent just before its latest start.
 TEST(AdmissionQueue, DispatchesTheNewestRequestFirst) {
     EngineHarness harness(
         without_rate_quota(single_instance_settings()),
         {make_endpoint("a"), make_endpoint("b"), make_endpoint("c", EndpointStatus::draining),
          make_endpoint("d", EndpointStatus::draining)});
-    const RequestId newest = fill_endpoints(harness) + 1;  // the queue takes two more
+    const RequestId newest = fill_endpoints(harness) + 1;  // the queue has room for two
     harness.arrive({.id = newest});
     const auto sent = actions_of<SendAttempt>(harness.succeed(1, "a", 20ms));
     ASSERT_GE(sent.size(), 1u);
@@ -42,7 +42,7 @@
     EXPECT_EQ(actions_of<RejectRequest>(caused)[0].id, oldest);
 }
 
-TEST(AdmissionQueue, KeepsRequestsThatCannotBeSentAndDropsThoseTooLate) {
+TEST(AdmissionQueue, KeepsRequestsThatCannotBeSentAndDropsThosePastTheirLatestStart) {
     constexpr Micros now = 10s;
     RequestTable requests;
     AdmissionQueue queue(requests);
@@ -51,7 +51,7 @@
         request.arrival.id = id;
         request.latest_start = id == 2 ? now - 1us : now;
         queue.push(request);
-        queue.push(request);  // queued once
+        queue.push(request);  // has no effect: already queued
     }
     std::vector<RequestId> tried;
     const auto dispatch = [&](bool sent) {
--- a/tests/decisions/admission/overload_detector_test.cpp
+++ b/tests/decisions/admission/overload_detector_test.cpp
@@ -1,4 +1,4 @@
-// What counts as overload of the back end.
+// Which outcomes count as overload of the back end, and when it ends.
 #include "decisions/admission/overload_detector.h"
 
 #include <gtest/gtest.h>
@@ -11,9 +11,9 @@
 using namespace silverreach::decision_tests;
 using namespace std::chrono_literals;
 
-// Otherwise the time-outs of removed endpoints would lower the limits of those that respond.
+// Otherwise timeouts of removed endpoints would lower the limits of endpoints that respond.
 TEST(OverloadDetector, TimeoutsOfUnresponsiveEndpointsAreNotOverload) {
-    // More than a quarter of the latency objective, so that time-outs may indicate overload.
+    // More than a quarter of the latency objective, so that timeouts may indicate overload.
     constexpr Micros response_time = 210ms;
     constexpr Micros timeout = 500ms;
     Settings settings = single_instance_settings();
@@ -27,28 +27,29 @@
             const auto sent = actions_of<SendAttempt>(
                 harness.arrive({.id = ++last_id, .units = 0, .plan = -1, .customer = "unlimited"}));
             ASSERT_EQ(sent.size(), 1u);
-            const bool timed_out = sent[0].endpoint >= first_unresponsive;
-            const Micros duration = timed_out ? timeout : response_time;
-            timeout_count += timed_out ? 1 : 0;
+            const bool is_timeout = sent[0].endpoint >= first_unresponsive;
+            const Micros duration = is_timeout ? timeout : response_time;
+            timeout_count += is_timeout ? 1 : 0;
             harness.advance(duration);
             harness.end_attempt({.id = last_id,
                                  .endpoint = sent[0].endpoint,
-                                 .outcome = timed_out ? Outcome::timeout : Outcome::success,
+                                 .outcome = is_timeout ? Outcome::timeout : Outcome::success,
                                  .duration = duration,
-                                 .request_completed = timed_out});
+                                 .request_completed = is_timeout});
         }
     };
     run(60, "z");
     run(30, "i");  // two thirds of the endpoints do not respond
     ASSERT_GT(timeout_count, 10);
-    // Not overloaded: a customer's whole burst is sent at once.
+    // Without overload there is no pacing: all requests within a customer's burst are sent
+    // immediately.
     int sent = 0;
     for (int request = 0; request < 2; ++request)
         sent += static_cast<int>(actions_of<SendAttempt>(harness.arrive({.id = ++last_id})).size());
     EXPECT_EQ(sent, 2);
 }
 
-TEST(OverloadDetector, RecoversAtALowerShareOfSlowResponsesThanItBegins) {
+TEST(OverloadDetector, OverloadEndsAtALowerShareOfSlowResponsesThanItBegins) {
     OverloadDetector detector;
     EXPECT_TRUE(detector.has_spare_capacity());
     const AttemptAssessment slow{.is_success = true, .is_slow = true};
--- a/tests/decisions/decision_engine_test.cpp
+++ b/tests/decisions/decision_engine_test.cpp
@@ -1,4 +1,4 @@
-// Events that the engine must ignore: unknown, late, repeated and malformed ones.
+// The engine ignores unknown, late, repeated and malformed events.
 #include <gtest/gtest.h>
 
 #include <variant>
@@ -40,7 +40,7 @@
         for (const Action& action : harness.handle(TimerFired{token}))
             EXPECT_TRUE(std::holds_alternative<SetTimer>(action));
     }
-    // A request that arrives without time left is answered at once.
+    // A request that arrives with no time remaining is rejected immediately.
     EXPECT_TRUE(harness.arrive({.id = 2, .time_remaining = 0us}).size() == 1 &&
                 actions_of<RejectRequest>(harness.actions).size() == 1);
 }
--- a/tests/decisions/load_balancing/endpoint_selector_test.cpp
+++ b/tests/decisions/load_balancing/endpoint_selector_test.cpp
@@ -1,4 +1,4 @@
-// Which endpoints an instance sends to.
+// The endpoints to which an instance sends attempts.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -21,7 +21,7 @@
     }
 }
 
-// Otherwise each of hundreds of instances would keep connections to every endpoint.
+// Without a subset, each of hundreds of instances would keep connections to every endpoint.
 TEST(EndpointSelector, InstanceUsesAStableSubset) {
     constexpr int endpoint_count = 100;
     std::vector<EndpointEntry> endpoints;
--- a/tests/decisions/load_balancing/outlier_detector_test.cpp
+++ b/tests/decisions/load_balancing/outlier_detector_test.cpp
@@ -1,4 +1,4 @@
-// When an endpoint is ejected, and for which plans and request classes it is avoided.
+// When an endpoint is ejected, and when it is avoided for a plan or a request class.
 #include "decisions/load_balancing/outlier_detector.h"
 
 #include <gtest/gtest.h>
@@ -34,8 +34,8 @@
                          .request_completed = true});
 }
 
-// 20 requests/s of each of two classes on the endpoints "a" and "b". Endpoint "a" leaves every
-// request of class "put" unanswered; all else succeeds in 40 ms.
+// Sends 20 requests/s of each of two classes to the endpoints "a" and "b". Endpoint "a" leaves
+// every request of class "put" unanswered; all other requests succeed in 40 ms.
 class TwoClassLoad {
   public:
     TwoClassLoad() : harness_(settings(), make_endpoints('a', 'b')) {}
@@ -52,7 +52,7 @@
         }
     }
 
-    std::map<std::string, int> puts;  // attempts in the latest run by endpoint
+    std::map<std::string, int> puts;  // attempts in the last run, by endpoint
     std::map<std::string, int> reads;
 
   private:
@@ -75,15 +75,16 @@
 
     void carry_out(const std::vector<Action>& actions) {
         for (const SendAttempt& attempt : actions_of<SendAttempt>(actions)) {
-            const bool put = class_of(attempt.id) == put_class;
-            const bool lost = put && attempt.endpoint == "a";
-            const Micros duration = lost ? timeout : response_time;
-            ++(put ? puts : reads)[attempt.endpoint];
-            outstanding_.emplace(harness_.now + duration,
-                                 AttemptEnded{.id = attempt.id,
-                                              .endpoint = attempt.endpoint,
-                                              .outcome = lost ? Outcome::timeout : Outcome::success,
-                                              .duration = duration});
+            const bool is_put = class_of(attempt.id) == put_class;
+            const bool is_unanswered = is_put && attempt.endpoint == "a";
+            const Micros duration = is_unanswered ? timeout : response_time;
+            ++(is_put ? puts : reads)[attempt.endpoint];
+            outstanding_.emplace(
+                harness_.now + duration,
+                AttemptEnded{.id = attempt.id,
+                             .endpoint = attempt.endpoint,
+                             .outcome = is_unanswered ? Outcome::timeout : Outcome::success,
+                             .duration = duration});
         }
     }
     void cancel_attempts(const std::vector<Action>& actions) {
@@ -107,11 +108,11 @@
 
     EngineHarness harness_;
     RequestId next_id_ = 1;
-    std::multimap<Micros, AttemptEnded> outstanding_;  // by the time of the end
+    std::multimap<Micros, AttemptEnded> outstanding_;  // by the time at which they end
 };
 }  // namespace
 
-// Every tenth connection may break while its endpoint serves all others.
+// Up to one connection in ten may break although its endpoint serves all other connections.
 TEST(OutlierDetector, EjectsAfterThreeResetsInARowOrOneFailedConnect) {
     EngineHarness harness(settings_with_ample_quota(), {make_endpoint("a")});
     for (RequestId id = 1; id <= 5; ++id) {
@@ -123,13 +124,13 @@
     }
     for (RequestId id = 20; id < 23; ++id) {
         EXPECT_EQ(count_sent(harness, id), id < 22 ? 1u : 0u)
-            << "with the reset before them the third in a row ejects the endpoint";
+            << "with the reset before them, the third in a row ejects the endpoint";
         fail_attempt(harness, id, Outcome::reset);
     }
     EngineHarness unreachable(settings_with_ample_quota(), {make_endpoint("a")});
     unreachable.arrive({.id = 1});
     fail_attempt(unreachable, 1, Outcome::connect_failed);
-    EXPECT_EQ(count_sent(unreachable, 2), 0u) << "a failed connect ejects at once";
+    EXPECT_EQ(count_sent(unreachable, 2), 0u) << "one failed connect ejects the endpoint";
 }
 
 TEST(OutlierDetector, EndpointThatLeavesOneClassUnansweredIsAvoidedForThatClassOnly) {
@@ -138,7 +139,7 @@
     load.run(15s);
     EXPECT_LE(load.puts["a"], 2);
     EXPECT_GT(load.puts["b"], 280);
-    EXPECT_GT(load.reads["a"], 120) << "reads still go there, and more than before";
+    EXPECT_GT(load.reads["a"], 120) << "the endpoint still gets reads, and more of them";
 }
 
 TEST(OutlierDetector, EndpointThatRejectsOnePlanIsAvoidedForThatPlanOnly) {
@@ -156,12 +157,12 @@
         for (int attempt = 0; !sent.empty() && attempt < 3; ++attempt) {
             const std::string endpoint = sent[0].endpoint;
             ++attempts.at(static_cast<std::size_t>(plan))[endpoint];
-            const bool rejected = plan == rejected_plan && endpoint == "a";
+            const bool is_rejected = plan == rejected_plan && endpoint == "a";
             sent = actions_of<SendAttempt>(
                 harness.end_attempt({.id = id,
                                      .attempt = attempt,
                                      .endpoint = endpoint,
-                                     .outcome = rejected ? Outcome::rejected : Outcome::success,
+                                     .outcome = is_rejected ? Outcome::rejected : Outcome::success,
                                      .duration = 30ms}));
         }
     }
--- a/tests/decisions/load_balancing/slow_start_test.cpp
+++ b/tests/decisions/load_balancing/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// How much load a freshly started endpoint gets while it is warming up.
+// The load that a newly started endpoint gets during its slow start.
 #include "decisions/load_balancing/slow_start.h"
 
 #include <gtest/gtest.h>
@@ -18,19 +18,19 @@
 using namespace std::chrono_literals;
 
 namespace {
-// The admission to a warming up endpoint is random, so sums over this many runs are compared.
+// Admission to an endpoint in slow start is random, so the tests compare sums over this many runs.
 constexpr int seed_count = 20;
 constexpr Micros request_interval = 50ms;
 
 using AttemptsByEndpoint = std::map<std::string, int>;
 
-EndpointEntry restarted_endpoint(const std::string& id, Micros now) {
+EndpointEntry restarted_endpoint(const std::string& id, Micros started_at) {
     EndpointEntry endpoint = make_endpoint(id);
-    endpoint.started_at = now;
+    endpoint.started_at = started_at;
     return endpoint;
 }
 
-// 20 requests/s; from the fourth outstanding one on the oldest is answered, after 200 ms.
+// Sends 20 requests/s. When four are outstanding, the oldest succeeds with a duration of 200 ms.
 class PipelinedLoad {
   public:
     explicit PipelinedLoad(EngineHarness& harness) : harness_(harness) {}
@@ -59,7 +59,7 @@
     std::deque<SendAttempt> outstanding_;
 };
 
-// 20 requests/s, each answered at once in 30 ms.
+// Sends 20 requests/s. Each succeeds immediately, with a reported duration of 30 ms.
 AttemptsByEndpoint run_instant_load(EngineHarness& harness, Micros duration, RequestId& next_id) {
     AttemptsByEndpoint attempts;
     for (Micros elapsed{0}; elapsed < duration; elapsed += request_interval) {
@@ -74,7 +74,7 @@
 }
 }  // namespace
 
-TEST(SlowStart, FreshEndpointGetsASmallShareThatGrows) {
+TEST(SlowStart, RestartedEndpointGetsASmallShareThatGrows) {
     int early_attempts = 0;
     int late_attempts = 0;
     for (int seed = 1; seed <= seed_count; ++seed) {
@@ -88,14 +88,14 @@
         early_attempts += first_attempts;
         late_attempts += load.run(8s)["c"];
     }
-    // 2 s at a fifth to a third of 6.7 requests/s, and one or two at once.
+    // 2 s at a fifth to a third of 6.7 requests/s, plus one or two initial requests.
     EXPECT_LE(early_attempts, 6 * seed_count);
     EXPECT_GT(late_attempts, 15 * seed_count);
 }
 
-// If any positive budget admitted a whole request, hundreds of instances could each send one at
-// once.
-TEST(SlowStart, HundredsOfInstancesTogetherKeepToTheShare) {
+// If an instance could send a request whenever its budget is above 0, hundreds of instances could
+// each send one at the same time.
+TEST(SlowStart, HundredsOfInstancesTogetherKeepTheShare) {
     constexpr int instance_count = 300;
     Settings settings = without_rate_quota(two_instance_settings());
     FleetHarness fleet(settings, instance_count, 3);
@@ -115,15 +115,16 @@
     const EndpointEntry restarted = restarted_endpoint("d", fleet.now);
     for (EngineHarness& instance : fleet.instances)
         instance.handle(EndpointsChanged{false, {restarted}});
-    // An even share is 25 requests/s; a fifth of that at first.
+    // An even share is 25 requests/s; slow start begins with a fifth of it.
     EXPECT_LE(count_attempts(2s), 25);
-    EXPECT_GT(count_attempts(8s), 20);  // and it is not starved
+    EXPECT_GT(count_attempts(8s), 20);  // the endpoint is not starved either
 }
 
-// If the share were taken of what the few warm endpoints carry, spread over all endpoints, those
-// warming up would get next to nothing, and the overload would go on.
-TEST(SlowStart, ManyFreshEndpointsKeepTheShareOfWarmOnesBefore) {
-    int attempts_at_fresh = 0;
+// If the share were based on the load of the few warm endpoints, spread over all endpoints,
+// endpoints in slow start would get almost no load, and the overload of the warm ones would
+// continue.
+TEST(SlowStart, ManyRestartedEndpointsGetAShareOfThePreviousWarmRate) {
+    int attempts_at_restarted = 0;
     for (int seed = 1; seed <= seed_count; ++seed) {
         EngineHarness harness(without_rate_quota(single_instance_settings()),
                               make_endpoints('a', 'h'), static_cast<std::uint64_t>(seed));
@@ -134,16 +135,16 @@
             change.endpoints.push_back(restarted_endpoint(std::string(1, letter), harness.now));
         harness.handle(change);
         for (const auto& [endpoint, attempts] : run_instant_load(harness, 6s, next_id))
-            attempts_at_fresh += endpoint >= "c" ? attempts : 0;
+            attempts_at_restarted += endpoint >= "c" ? attempts : 0;
     }
-    // A warm endpoint had 2.5 requests/s; half of twice that, at a fifth to two thirds of the
-    // capacity, for six endpoints in 6 s: some 40. Spread over all endpoints it would be half.
-    EXPECT_GT(attempts_at_fresh, 30 * seed_count);
-    EXPECT_LT(attempts_at_fresh, 60 * seed_count);
+    // A warm endpoint had 2.5 requests/s. Half of twice that, at a fifth to two thirds of the
+    // capacity, for six endpoints in 6 s is about 40. Spread over all endpoints it would be half.
+    EXPECT_GT(attempts_at_restarted, 30 * seed_count);
+    EXPECT_LT(attempts_at_restarted, 60 * seed_count);
 }
 
-TEST(SlowStart, CapacityShareGrowsFromTheInitialShareToAll) {
-    const Settings settings = single_instance_settings();  // 0.2 at first, warm after 10 s
+TEST(SlowStart, CapacityShareGrowsFromTheInitialShareToFullCapacity) {
+    const Settings settings = single_instance_settings();  // initial share 0.2, warm after 10 s
     Endpoint endpoint;
     EXPECT_EQ(capacity_share(endpoint, settings, engine_start), 1) << "started long ago";
     endpoint.slow_start_began_at = engine_start;
--- a/tests/decisions/load_balancing/slow_start_tracker_test.cpp
+++ b/tests/decisions/load_balancing/slow_start_tracker_test.cpp
@@ -1,4 +1,5 @@
-// When an endpoint's slow start began, by this instance's clock and the reported start time.
+// When an endpoint's slow start began, derived from this instance's clock and the listed start
+// time.
 #include "decisions/load_balancing/slow_start_tracker.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +10,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Micros instance_started_at = 1000h;  // of this instance, by its wall clock
+constexpr Micros instance_started_at = 1000h;  // wall time of this instance's start
 EndpointEntry endpoint_started_at(const std::string& id, Micros started_at) {
     EndpointEntry entry;
     entry.id = id;
@@ -27,10 +28,10 @@
     EXPECT_EQ(tracker.record_entry(endpoint_started_at("c", instance_started_at + 1h),
                                    instance_started_at + 5ms),
               instance_started_at + 5ms)
-        << "ahead of our clock";
+        << "the start time is ahead of this instance's clock";
 }
 
-TEST(SlowStartTracker, EndpointAddedLaterStartsNowWhateverItsClock) {
+TEST(SlowStartTracker, EndpointListedLaterStartsNowRegardlessOfItsListedTime) {
     for (const Micros clock_error : {Micros(-1h), Micros(0), Micros(1h)}) {
         SlowStartTracker tracker(instance_started_at);
         tracker.record_entry(endpoint_started_at("a", 0us), instance_started_at);
@@ -39,7 +40,7 @@
         EXPECT_EQ(tracker.record_entry(endpoint_started_at("b", now + clock_error), now + 3s), now)
             << "a repeated entry does not restart it";
         EXPECT_EQ(tracker.record_entry(endpoint_started_at("c", 0us), now), 0us)
-            << "started long ago, as it reports";
+            << "the list says that it started long ago";
     }
 }
 
--- a/tests/decisions/retry/attempt_rules_test.cpp
+++ b/tests/decisions/retry/attempt_rules_test.cpp
@@ -1,4 +1,4 @@
-// Each reason for which an attempt must not start, or must not be sent any more.
+// The reasons for which an attempt must not start or must not be sent.
 #include "decisions/retry/attempt_rules.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
     non_idempotent = 2
 };
 
-Settings three_classes() {
+Settings settings_with_three_classes() {
     Settings settings;
     settings.classes = {
         {"idempotent", Idempotency::idempotent, DeduplicationScope::all, 400ms, 2s, 0us, 1, 0},
@@ -28,16 +28,16 @@
     settings.max_attempts = 3;
     return settings;
 }
-EndpointEntry make_endpoint(const std::string& name, std::int64_t cell,
-                            EndpointStatus state = EndpointStatus::available) {
+EndpointEntry make_endpoint(const std::string& id, std::int64_t cell,
+                            EndpointStatus status = EndpointStatus::available) {
     EndpointEntry entry;
-    entry.id = name;
+    entry.id = id;
     entry.cell = cell;
-    entry.status = state;
+    entry.status = status;
     return entry;
 }
 struct RulesFixture {
-    AttemptRules rules{three_classes()};
+    AttemptRules rules{settings_with_three_classes()};
     RequestRecord request;
     explicit RulesFixture(int request_class) {
         rules.on_endpoints_changed(
@@ -47,8 +47,9 @@
         request.request_class = request_class;
         request.deadline = 2s;
     }
-    void attempt(const std::string& at, Micros now, bool sent, bool ended, bool never_ran) {
-        AttemptRecord record = rules.make_attempt(at, now);
+    void add_attempt(const std::string& endpoint, Micros now, bool sent, bool ended,
+                     bool never_ran) {
+        AttemptRecord record = rules.make_attempt(endpoint, now);
         if (sent) record.sent_at = now;
         record.ended = ended;
         record.never_ran = never_ran;
@@ -73,39 +74,41 @@
 }
 
 TEST(AttemptRules, RequestThatMayHaveRunIsRetriedOnlyWhereDeduplicated) {
-    RulesFixture unsafe(non_idempotent);
-    unsafe.attempt("a", 100ms, true, true, true);
-    EXPECT_EQ(unsafe.rules.check_start(200ms, unsafe.request, "b"), std::nullopt) << "it never ran";
-    unsafe.attempt("b", 200ms, true, true, false);
-    EXPECT_EQ(unsafe.rules.check_start(300ms, unsafe.request, "a"), BlockReason::may_have_run);
+    RulesFixture not_repeatable(non_idempotent);
+    not_repeatable.add_attempt("a", 100ms, true, true, true);
+    EXPECT_EQ(not_repeatable.rules.check_start(200ms, not_repeatable.request, "b"), std::nullopt)
+        << "the earlier attempt did not run";
+    not_repeatable.add_attempt("b", 200ms, true, true, false);
+    EXPECT_EQ(not_repeatable.rules.check_start(300ms, not_repeatable.request, "a"),
+              BlockReason::may_have_run);
     RulesFixture repeatable(keyed);
-    repeatable.attempt("a", 100ms, true, true, false);
+    repeatable.add_attempt("a", 100ms, true, true, false);
     EXPECT_EQ(repeatable.rules.check_start(200ms, repeatable.request, "b"), std::nullopt);
     EXPECT_EQ(repeatable.rules.check_start(200ms, repeatable.request, "c"),
               BlockReason::outside_deduplication_scope);
     EXPECT_EQ(repeatable.rules.check_start(1149ms, repeatable.request, "b"), std::nullopt);
     EXPECT_EQ(repeatable.rules.check_start(1150ms, repeatable.request, "b"),
               BlockReason::deduplication_window_closed)
-        << "less the longest stall";
+        << "the window is shortened by the longest process pause";
 }
 
 TEST(AttemptRules, OneAttemptInFlightAndAtMostMaxAttempts) {
     RulesFixture fixture(idempotent);
-    fixture.attempt("a", 100ms, true, false, false);
+    fixture.add_attempt("a", 100ms, true, false, false);
     EXPECT_EQ(fixture.rules.check_start(200ms, fixture.request, "b"),
               BlockReason::attempt_in_flight);
     fixture.request.attempts[0].ended = true;
     EXPECT_EQ(fixture.rules.check_start(200ms, fixture.request, "b"), std::nullopt);
-    fixture.attempt("b", 200ms, true, true, false);
-    fixture.attempt("a", 300ms, true, true, false);
+    fixture.add_attempt("b", 200ms, true, true, false);
+    fixture.add_attempt("a", 300ms, true, true, false);
     EXPECT_EQ(fixture.rules.check_start(400ms, fixture.request, "b"),
               BlockReason::max_attempts_reached);
 }
 
 TEST(AttemptRules, AreCheckedAgainBeforeBytesAreSent) {
     RulesFixture fixture(keyed);
-    fixture.attempt("a", 100ms, true, true, false);
-    fixture.attempt("b", 200ms, false, false, false);
+    fixture.add_attempt("a", 100ms, true, true, false);
+    fixture.add_attempt("b", 200ms, false, false, false);
     EXPECT_EQ(fixture.rules.check_send(300ms, fixture.request, 1), std::nullopt);
     EXPECT_EQ(fixture.rules.check_send(1400ms, fixture.request, 1),
               BlockReason::deduplication_window_closed);
--- a/tests/decisions/retry/overdue_attempt_check_test.cpp
+++ b/tests/decisions/retry/overdue_attempt_check_test.cpp
@@ -1,4 +1,4 @@
-// What happens to attempts whose response is overdue.
+// How attempts with an overdue response are handled.
 #include <gtest/gtest.h>
 
 #include "tests/decisions/support/engine_harness.h"
@@ -8,10 +8,10 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Micros never = 1h;
+constexpr Micros not_cancelled = 1h;
 
-// The first request is left unanswered while others go to the same endpoint. Returns how long it
-// took until the first request's attempt was cancelled, or `never`.
+// Leaves the request with id 1 unanswered while other requests are sent to the same endpoint.
+// Returns the time until the attempt of request 1 is cancelled, or `not_cancelled`.
 Micros time_to_cancel_first(EngineHarness& harness, bool others_succeed) {
     constexpr RequestId first_other = 40;
     constexpr RequestId other_count = 100;
@@ -24,13 +24,13 @@
             if (cancel.id == 1) return harness.now - sent_at;
         }
     }
-    return never;
+    return not_cancelled;
 }
 }  // namespace
 
-// One connection in a hundred may stop responding while its endpoint serves all others.
+// Up to one connection in a hundred may stop responding although its endpoint serves all others.
 TEST(OverdueAttemptCheck, CancelsFirstAttemptAndEjectsOnlyAnUnresponsiveEndpoint) {
-    constexpr Micros objective_fraction = 440ms;  // 0.55 of the latency objective
+    constexpr Micros min_cancel_time = 440ms;  // 0.55 of the latency objective
     for (const bool others_succeed : {true, false}) {
         Settings settings = single_instance_settings();
         settings.may_hedge = false;
@@ -43,9 +43,9 @@
         ASSERT_EQ(actions_of<SendAttempt>(harness.arrive({.id = 1})).size(), 1u);
         const Micros waited = time_to_cancel_first(harness, others_succeed);
         if (others_succeed)
-            EXPECT_GE(waited, objective_fraction) << "not before";
+            EXPECT_GE(waited, min_cancel_time) << "not cancelled earlier";
         else
-            EXPECT_LT(waited, objective_fraction) << "an unresponsive endpoint is detected sooner";
+            EXPECT_LT(waited, min_cancel_time) << "an unresponsive endpoint is detected earlier";
         EXPECT_LT(waited, 500ms);
         harness.end_attempt(
             {.id = 1, .endpoint = "a", .outcome = Outcome::cancelled, .duration = waited});
@@ -55,7 +55,7 @@
     }
 }
 
-// The first responses to come are the shortest and say little of the usual response time.
+// The first responses to arrive are the shortest, so they do not represent the usual response time.
 TEST(OverdueAttemptCheck, FirstShortResponsesDoNotMakeOtherEndpointsUnresponsive) {
     Settings settings = single_instance_settings();
     settings.may_hedge = false;
--- a/tests/decisions/retry/retry_policy_test.cpp
+++ b/tests/decisions/retry/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are retried after a failed attempt.
+// Which requests are retried after a failed attempt, and how the others end.
 #include <gtest/gtest.h>
 
 #include <cstdint>
--- a/tests/decisions/settings_validation_test.cpp
+++ b/tests/decisions/settings_validation_test.cpp
@@ -1,4 +1,4 @@
-// Which settings an engine accepts.
+// The settings that an engine accepts or rejects.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
--- a/tests/decisions/stall_detector_test.cpp
+++ b/tests/decisions/stall_detector_test.cpp
@@ -1,4 +1,4 @@
-// A stall of this process must not be taken for an unresponsive peer.
+// A stall of this process must not make a peer count as unresponsive.
 #include "decisions/stall_detector.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 using namespace silverreach::decision_tests;
 using namespace std::chrono_literals;
 
-// After a stall the overdue timer of the lease request fires before the grant is read.
+// After a stall, the timer of the lease request fires before the grant that has arrived is handled.
 TEST(StallDetector, OwnStallDoesNotMakeTheLeaseOwnerUnresponsive) {
     constexpr Micros stall = 600ms;
     Settings settings = two_instance_settings();
@@ -40,7 +40,8 @@
     const Micros late = 1s + StallDetector::stall_threshold + 1us;
     EXPECT_TRUE(detector.is_stalled(late));
     detector.on_heartbeat(late);
-    EXPECT_TRUE(detector.is_stalled(late)) << "events of the same time were read after the stall";
+    EXPECT_TRUE(detector.is_stalled(late))
+        << "events at the time of the late heartbeat follow the stall";
     EXPECT_FALSE(detector.is_stalled(late + 1us));
 }
 
--- a/tests/decisions/support/engine_harness.h
+++ b/tests/decisions/support/engine_harness.h
@@ -1,6 +1,6 @@
 // Drives one DecisionEngine through its public interface with a simulated clock.
 //
-// The harness plays the host process: it delivers events, runs the timers that the engine starts
+// The harness acts as the host program: it delivers events, runs the timers that the engine starts
 // and records every action. Single-threaded; nothing happens unless a test calls a method.
 #pragma once
 
@@ -14,15 +14,15 @@
 
 namespace silverreach::decision_tests {
 
-// Clock time at which each harness builds its engine.
+// Clock time at which each harness creates its engine.
 inline constexpr Micros engine_start{1'000'000};
-// Customer of every request that names no other.
+// Customer of requests that do not set another one.
 inline constexpr const char* default_customer = "c";
 
 // One instance, one class "read" (latency objective 800 ms, deadline 2 s), one plan of 2 units/s
 // with a burst of 4 units; up to three attempts, hedging, cancellation and Retry-After allowed.
 Settings single_instance_settings();
-// As above, with one peer and messages between the two.
+// As above, with one peer and peer messages allowed.
 Settings two_instance_settings();
 // Removes the rate quota of the first plan.
 Settings without_rate_quota(Settings settings);
@@ -30,7 +30,7 @@
 EndpointEntry make_endpoint(const std::string& id,
                             EndpointStatus status = EndpointStatus::available,
                             std::int64_t cell = 0);
-// Available endpoints named by the letters from `first` to `last`.
+// Available endpoints, named by the letters from `first` to `last`.
 std::vector<EndpointEntry> make_endpoints(char first, char last);
 
 // The actions of one type, in order.
@@ -67,16 +67,17 @@
     // A successful attempt always completes its request.
     std::vector<Action> end_attempt(AttemptEnded ended);
     std::vector<Action> succeed(RequestId id, const std::string& endpoint, Micros duration);
-    // Moves the clock; timers due on the way fire at their own times.
+    // Advances the clock; timers that become due fire at their own times.
     std::vector<Action> advance(Micros duration);
 
     DecisionEngine engine;
     Micros now = engine_start;
-    std::vector<Action> actions;                        // since the start
+    std::vector<Action> actions;                        // all, since the start
     std::multimap<Micros, std::uint64_t> timer_tokens;  // by the time at which they are due
 };
 
-// Lets 30 requests without a quota succeed in 700 ms each, which the engine takes for overload.
+// Lets 30 requests without a quota succeed with a duration of 700 ms each, which the engine detects
+// as overload.
 void drive_into_overload(EngineHarness& harness);
 
 }  // namespace silverreach::decision_tests
--- a/tests/decisions/support/fleet_harness.cpp
+++ b/tests/decisions/support/fleet_harness.cpp
@@ -10,10 +10,10 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Micros step = 4ms;
+constexpr Micros clock_step = 4ms;
 constexpr Micros max_message_delay = 20ms;
-constexpr Micros request_time = 500ms;
-// One message in this many is lost; one in this many of the others is duplicated.
+constexpr Micros request_time_remaining = 500ms;
+// One message in this many is lost; of the others, one in this many is duplicated.
 constexpr std::uint64_t message_fault_interval = 16;
 
 std::vector<EndpointEntry> fleet_endpoints() {
@@ -32,7 +32,7 @@
 
 void FleetHarness::advance(Micros duration) {
     for (const Micros until = now + duration; now < until;) {
-        now = std::min(until, now + step);
+        now = std::min(until, now + clock_step);
         run_timers();
         deliver_messages();
         deliver_responses();
@@ -43,7 +43,7 @@
     EngineHarness& instance = instances[static_cast<std::size_t>(rank)];
     carry_out(rank, instance.arrive({.id = id,
                                      .units = units,
-                                     .time_remaining = request_time,
+                                     .time_remaining = request_time_remaining,
                                      .subset_size = subset_size}));
 }
 
@@ -70,12 +70,12 @@
             sent_.push_back({rank, *attempt});
             responses_.emplace(now + response_time, sent_.back());
         } else if (const auto* message = std::get_if<SendPeerMessage>(&action)) {
-            post(rank, *message);
+            post_message(rank, *message);
         }
     }
 }
 
-void FleetHarness::post(int from, const SendPeerMessage& message) {
+void FleetHarness::post_message(int from, const SendPeerMessage& message) {
     if (random() % message_fault_interval == 0) return;
     const int copies = random() % message_fault_interval == 0 ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
--- a/tests/decisions/support/fleet_harness.h
+++ b/tests/decisions/support/fleet_harness.h
@@ -1,7 +1,7 @@
-// Drives several engines whose messages to each other are lost, duplicated, delayed and reordered.
+// Drives several engines. Their messages to each other are lost, duplicated, delayed and reordered.
 //
-// Every attempt succeeds after `response_time`. Random choices come from one seeded generator, so
-// that a run repeats exactly.
+// Every attempt succeeds after `response_time`. All random choices use one seeded generator, so
+// runs are reproducible.
 #pragma once
 
 #include <cstdint>
@@ -24,11 +24,11 @@
     FleetHarness(Settings settings, int instance_count, std::uint64_t seed);
 
     void advance(Micros duration);
-    // A request of the default customer with 500 ms left, at the instance `rank`.
+    // A request of the default customer arrives at the instance `rank` with 500 ms remaining.
     void arrive(int rank, RequestId id, double units, int subset_size);
-    // Replaces the engine of one instance by a fresh one; its timers and responses are lost.
+    // Replaces the engine of one instance by a new one; its timers and responses are lost.
     void restart(int rank);
-    // The attempts sent since the last call.
+    // Returns the attempts sent since the last call.
     std::vector<FleetAttempt> take_sent();
     int random_rank(int instance_count);
 
@@ -44,14 +44,14 @@
     };
 
     void carry_out(int rank, const std::vector<Action>& actions);
-    void post(int from, const SendPeerMessage& message);
+    void post_message(int from, const SendPeerMessage& message);
     void run_timers();
     void deliver_messages();
     void deliver_responses();
 
     Settings settings_;
-    std::multimap<Micros, Message> messages_;        // by the time of delivery
-    std::multimap<Micros, FleetAttempt> responses_;  // by the time of the response
+    std::multimap<Micros, Message> messages_;        // by delivery time
+    std::multimap<Micros, FleetAttempt> responses_;  // by the time at which they are due
     std::vector<FleetAttempt> sent_;
 };
 
--- a/tests/decisions/support/lease_holder_harness.h
+++ b/tests/decisions/support/lease_holder_harness.h
@@ -1,5 +1,5 @@
-// Drives one instance that does not own the quota of the default customer: it must obtain leases
-// from the owner, whose side the test plays.
+// Drives one instance that does not own the quota of the default customer and obtains leases from
+// the owner. The test acts as the owner.
 #pragma once
 
 #include <vector>
@@ -12,9 +12,9 @@
 // Rank of the instance that owns the default customer's quota.
 int owner_rank(int instance_count);
 
-// The lease requests among the messages to one peer.
+// The lease requests in the messages to one peer.
 std::vector<LeaseRequest> lease_requests_to(int peer, const std::vector<Action>& actions);
-// The first lease request of one message; throws where the bytes are none.
+// The first lease request of a message; throws if the message does not begin with one.
 LeaseRequest lease_request_in(const SendPeerMessage& message);
 
 class LeaseHolderHarness {
@@ -25,10 +25,10 @@
     std::vector<Action> arrive(RequestId id);
     // Answers a lease request; the nonce is filled in.
     std::vector<Action> grant(const LeaseRequest& request, LeaseGrant lease);
-    // Ten requests per second; each lease request is granted all units that it asks for and a
+    // Sends ten requests per second. Grants each lease request all units that it asks for and a
     // standing lease of `standing_share` of the quota, 0 to 1. Returns the last request id.
     RequestId send_steady_load(Micros duration, RequestId last_id, double standing_share);
-    // Sends `count` requests; returns how many attempts were sent at once. Updates `last_id`.
+    // Sends `count` requests; returns how many attempts were sent immediately. Updates `last_id`.
     int count_sent_immediately(RequestId& last_id, int count);
 
     Settings settings;
