--- a/src/discovery/discovery_error.h
+++ b/src/discovery/discovery_error.h
@@ -1,4 +1,4 @@
-// Why an endpoint list could not be obtained from its source.
+// The errors of obtaining an endpoint list from its source.
 #pragma once
 
 #include <string>
@@ -7,11 +7,11 @@
 
 enum class DiscoveryErrorCode {
     connect_failed,    // no connection to the discovery service
-    connection_lost,   // it ended or broke
-    unexpected_reply,  // an HTTP fault, or a status other than success
-    malformed_list,    // the reply is no endpoint list
+    connection_lost,   // the connection or the response ended, or the connection failed
+    unexpected_reply,  // an HTTP protocol error, or a status other than success
+    malformed_list,    // the reply is not an endpoint list
     implausible_list,  // an older revision or an empty list, not confirmed yet
-    unresponsive,      // nothing came within the timeout
+    unresponsive,      // no reply or no activity within the timeout
     unreadable_file,
 };
 
@@ -20,7 +20,7 @@
     std::string source;  // the service's address, or the file's path
     std::string detail;
 
-    // For the log: the source and the detail.
+    // Returns the source and the detail, for the log.
     std::string message() const { return source + ": " + detail; }
 };
 
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -10,7 +10,7 @@
 
 namespace silverreach::discovery {
 
-// The response of one watch on one connection. Reports its end to the watch once.
+// The response of one watch, on a connection of its own. Reports its end to the watch once.
 class DiscoveryWatch::WatchStream : public event::StreamOwner, public http::Parser::Events {
   public:
     WatchStream(DiscoveryWatch& watch, event::Fd fd, const std::string& request)
@@ -26,32 +26,35 @@
         closed_ = true;
     }
     Micros open_for(Micros now) const { return now - opened_at_; }
-    // Activity is a keep-alive line or a complete object; bytes that complete none are not.
+    // Activity is a keep-alive line or a complete object; a part of an object is not.
     Micros inactive_for(Micros now) const { return now - last_activity_; }
 
     void on_data(std::string_view bytes) override {
         parser_.feed(bytes);
         if (!closed_ && parser_.done())
-            end(DiscoveryErrorCode::connection_lost, "the answer ended");
+            end(DiscoveryErrorCode::connection_lost, "the service ended the response");
+    }
+    void on_end() override {
+        end(DiscoveryErrorCode::connection_lost, "the service closed the connection");
     }
-    void on_end() override { end(DiscoveryErrorCode::connection_lost, "the connection ended"); }
     void on_broken(int error) override {
         end(DiscoveryErrorCode::connection_lost, std::strerror(error));
     }
     bool on_head(http::Head& head) override {
         if (head.status == 200) return true;
-        end(DiscoveryErrorCode::unexpected_reply, fmt::format("status {}", head.status));
+        end(DiscoveryErrorCode::unexpected_reply,
+            fmt::format("unexpected HTTP status {}", head.status));
         return false;
     }
     void on_body(std::string_view bytes) override {
         while (!closed_ && !bytes.empty()) {
-            const bool was_between = objects_.is_between_objects();
-            const auto progress = objects_.read(bytes);
-            if (progress == platform::ObjectReader::Status::malformed)
-                return end_malformed(std::string(objects_.error()));
-            if (progress == platform::ObjectReader::Status::complete)
+            const bool was_between_objects = objects_.is_between_objects();
+            const auto status = objects_.read(bytes);
+            if (status == platform::ObjectReader::Status::malformed)
+                return end_with_malformed_list(std::string(objects_.error()));
+            if (status == platform::ObjectReader::Status::complete)
                 on_object(objects_.take());
-            else if (was_between && objects_.is_between_objects())
+            else if (was_between_objects && objects_.is_between_objects())
                 last_activity_ = watch_.loop_.now();
         }
     }
@@ -63,13 +66,15 @@
   private:
     void on_object(const std::string& object) {
         auto list = platform::read_targets(object);
-        if (!list) return end_malformed("an object that cannot be read");
+        if (!list) return end_with_malformed_list("the response contains an invalid list");
         last_activity_ = watch_.loop_.now();
         if (watch_.is_implausible(*list))
-            return end(DiscoveryErrorCode::implausible_list, "a list in doubt");
+            return end(DiscoveryErrorCode::implausible_list,
+                       "the list is empty or older than the last one; requesting the complete list "
+                       "to confirm it");
         watch_.on_list_accepted(std::move(*list));
     }
-    void end_malformed(const std::string& detail) {
+    void end_with_malformed_list(const std::string& detail) {
         if (closed_) return;
         close();
         watch_.on_malformed_list(detail);
@@ -120,8 +125,8 @@
     event::Fd fd = event::connect_to(service_.ip, service_.port, service_.v6, error);
     if (!fd) return back_off(DiscoveryErrorCode::connect_failed, std::strerror(error), false);
     state_ = State::awaiting_list;
-    const bool complete = request_complete_list_ || revision_ < 0;
-    const std::string since = complete ? "" : fmt::format("&since={}", revision_);
+    const bool needs_complete_list = request_complete_list_ || revision_ < 0;
+    const std::string since = needs_complete_list ? "" : fmt::format("&since={}", revision_);
     stream_ = std::make_unique<WatchStream>(
         *this, std::move(fd),
         fmt::format("GET /v1/endpoints?follow=1{} HTTP/1.1\r\nHost: {}\r\n\r\n", since,
@@ -137,8 +142,8 @@
     callbacks_.on_list(std::move(list));
 }
 
-// A stable watch is resumed at once. Otherwise the backoff grows, so that a service that ends each
-// watch is not called without a pause.
+// A stable watch is resumed immediately. Otherwise the backoff grows, so that a service that ends
+// each watch is not called without a pause.
 void DiscoveryWatch::back_off(DiscoveryErrorCode code, const std::string& detail, bool was_stable) {
     state_ = State::backing_off;
     if (!std::exchange(outage_reported_, true))
@@ -153,28 +158,29 @@
 }
 
 void DiscoveryWatch::on_stream_ended(DiscoveryErrorCode code, const std::string& detail) {
-    back_off(code, detail, lasted_long_enough());
+    back_off(code, detail, is_stable());
 }
 
-// What the list said is not known, so the changes after the last revision may be lost.
+// The content of a malformed list is unknown, so changes after the last revision may be lost unless
+// the complete list is requested.
 void DiscoveryWatch::on_malformed_list(const std::string& detail) {
     request_complete_list_ = true;
     on_stream_ended(DiscoveryErrorCode::malformed_list, detail);
 }
 
-// An older revision or an empty list. Accepted where the service repeats it when the complete list
-// is requested.
+// Returns whether the list has an older revision, or is complete and empty, and is not confirmed.
+// The service confirms such a list by repeating it when the complete list is requested.
 bool DiscoveryWatch::is_implausible(const platform::TargetList& list) {
-    const bool suspicious = list.revision < revision_ || (list.complete && list.targets.empty());
-    const bool confirmed = list.complete && unconfirmed_revision_ == list.revision;
+    const bool is_suspect = list.revision < revision_ || (list.complete && list.targets.empty());
+    const bool is_confirmed = list.complete && unconfirmed_revision_ == list.revision;
     unconfirmed_revision_.reset();
-    if (!suspicious || confirmed) return false;
+    if (!is_suspect || is_confirmed) return false;
     unconfirmed_revision_ = list.revision;
     request_complete_list_ = true;
     return true;
 }
 
-bool DiscoveryWatch::lasted_long_enough() const {
+bool DiscoveryWatch::is_stable() const {
     return state_ == State::streaming && stream_->open_for(loop_.now()) >= timeouts_.stable_after;
 }
 
@@ -192,17 +198,17 @@
     });
 }
 
-// A connection may stay open although the service is gone.
+// Detects a service that is gone although its connection stays open.
 void DiscoveryWatch::check_activity() {
     if (state_ == State::backing_off) return;
     const Micros timeout = state_ == State::streaming ? timeouts_.inactivity : first_list_timeout_;
     if (stream_->inactive_for(loop_.now()) < timeout) return;
-    const bool was_stable = lasted_long_enough();
+    const bool was_stable = is_stable();
     // A slow service may need longer for its first list.
     if (state_ == State::awaiting_list)
         first_list_timeout_ = std::min(first_list_timeout_ * 2, timeouts_.first_list_max);
     retire_stream();
-    back_off(DiscoveryErrorCode::unresponsive, "silence", was_stable);
+    back_off(DiscoveryErrorCode::unresponsive, "no activity within the time limit", was_stable);
 }
 
 }  // namespace silverreach::discovery
--- a/src/discovery/endpoint_discovery.h
+++ b/src/discovery/endpoint_discovery.h
@@ -18,12 +18,12 @@
 
 // Called on the loop's thread.
 struct EndpointDiscoveryCallbacks {
-    // The complete list, after each change.
+    // Called with the complete list after each change.
     std::function<void(std::vector<EndpointEntry>)> on_endpoints;
-    // A list that is not valid; the one before stays in use.
+    // Called with the problems of an invalid list; the previous list stays in use.
     std::function<void(const std::vector<openapi::Problem>&)> on_invalid_list;
-    // The source cannot be read. Called once for an outage of the service, and at each change of a
-    // file that cannot be read.
+    // Called when the source cannot be read: once per outage of the service, and on each change of
+    // a file that cannot be read.
     std::function<void(const DiscoveryError&)> on_unavailable;
 };
 
@@ -35,8 +35,9 @@
     virtual ~EndpointDiscovery() = default;
 };
 
-// Starts discovery from the source that `config` names. `folder` is what a relative file name
-// starts from. `loop` and `config` must outlive the result. A file is read before this returns.
+// Starts discovery from the source that `config` names. A relative file name is resolved against
+// `folder`. `loop` and `config` must outlive the result. Callbacks may be called before this
+// returns: a file is read immediately.
 std::unique_ptr<EndpointDiscovery> start_endpoint_discovery(event::Loop& loop,
                                                             const config::Config& config,
                                                             const std::string& folder,
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -12,7 +12,7 @@
 using nlohmann::json;
 constexpr std::int64_t max_port = 65535;
 
-// The JSON form of protobuf allows a field's name in camel case and as it is declared.
+// The JSON mapping of protobuf accepts a field name in camel case and as declared in the schema.
 const json* find_field(const json& object, const char* camel_case, const char* snake_case) {
     if (!object.is_object()) return nullptr;
     if (const auto it = object.find(camel_case); it != object.end()) return &*it;
@@ -26,7 +26,7 @@
     return value && value->is_string() ? value->get<std::string>() : fallback;
 }
 
-std::optional<EndpointStatus> status_of(std::string_view health) {
+std::optional<EndpointStatus> parse_health_status(std::string_view health) {
     if (health == "UNKNOWN" || health == "HEALTHY" || health == "DEGRADED")
         return EndpointStatus::available;
     if (health == "DRAINING") return EndpointStatus::draining;
@@ -78,10 +78,10 @@
             parse_locality((*localities)[i], fmt::format("endpoints[{}].lbEndpoints", i));
     }
 
-    void parse_locality(const json& group, const std::string& field) {
-        const json* locality = find_field(group, "locality");
+    void parse_locality(const json& locality_endpoints, const std::string& field) {
+        const json* locality = find_field(locality_endpoints, "locality");
         const std::string zone = locality ? text_or(find_field(*locality, "zone")) : "";
-        const json* endpoints = find_field(group, "lbEndpoints", "lb_endpoints");
+        const json* endpoints = find_field(locality_endpoints, "lbEndpoints", "lb_endpoints");
         if (!endpoints) return;
         if (!endpoints->is_array()) return report(field, "a list");
         for (std::size_t i = 0; i < endpoints->size(); ++i)
@@ -95,7 +95,7 @@
         if (!parse_addresses(lb_endpoint, field, listed)) return;
         const std::string health =
             text_or(find_field(lb_endpoint, "healthStatus", "health_status"), "UNKNOWN");
-        const auto status = status_of(health);
+        const auto status = parse_health_status(health);
         if (!status)
             return report(field + ".healthStatus",
                           "HEALTHY, DRAINING, UNHEALTHY, TIMEOUT, DEGRADED or UNKNOWN");
@@ -111,8 +111,8 @@
         listed.entry.id = parse_address(endpoint ? find_field(*endpoint, "address") : nullptr,
                                         field + ".endpoint.address");
         if (listed.entry.id.empty()) return false;
-        if (!seen_.insert(listed.entry.id).second) {
-            report(field, "each address once, not " + listed.entry.id + " again");
+        if (!seen_addresses_.insert(listed.entry.id).second) {
+            report(field, "unique addresses; " + listed.entry.id + " is listed more than once");
             return false;
         }
         const json* additional =
@@ -124,7 +124,8 @@
         return true;
     }
 
-    // "ip:port", or "[ip]:port" of IPv6; empty where there is none, which is reported.
+    // Returns "ip:port", or "[ip]:port" for IPv6. Reports an address that is missing or invalid and
+    // returns an empty string for it.
     std::string parse_address(const json* address, const std::string& field) {
         const json* socket =
             address ? find_field(*address, "socketAddress", "socket_address") : nullptr;
@@ -135,8 +136,8 @@
             report(field, "socketAddress with an address and a portValue from 1 to 65535");
             return "";
         }
-        const bool v6 = ip.find(':') != std::string::npos;
-        return fmt::format("{}{}{}:{}", v6 ? "[" : "", ip, v6 ? "]" : "", port->get<int>());
+        const bool is_v6 = ip.find(':') != std::string::npos;
+        return fmt::format("{}{}{}:{}", is_v6 ? "[" : "", ip, is_v6 ? "]" : "", port->get<int>());
     }
 
     bool parse_weight(const json& lb_endpoint, const std::string& field, ListedEndpoint& listed) {
@@ -144,7 +145,7 @@
             find_field(lb_endpoint, "loadBalancingWeight", "load_balancing_weight");
         if (!weight) return true;
         if (!weight->is_number() || weight->get<double>() < 1) {
-            report(field + ".loadBalancingWeight", "a number from 1");
+            report(field + ".loadBalancingWeight", "a number of at least 1");
             return false;
         }
         listed.entry.weight = weight->get<double>();
@@ -155,11 +156,11 @@
         const json* metadata = find_field(lb_endpoint, "metadata");
         const json* filters =
             metadata ? find_field(*metadata, "filterMetadata", "filter_metadata") : nullptr;
-        const json* own = filters ? find_field(*filters, "silverreach") : nullptr;
-        if (!own) return;
-        listed.entry.kind = text_or(find_field(*own, "kind"));
-        parse_number(*own, "cell", field, listed.entry.cell);
-        parse_number(*own, "started_unix_ms", field, listed.started_unix_ms);
+        const json* own_metadata = filters ? find_field(*filters, "silverreach") : nullptr;
+        if (!own_metadata) return;
+        listed.entry.kind = text_or(find_field(*own_metadata, "kind"));
+        parse_number(*own_metadata, "cell", field, listed.entry.cell);
+        parse_number(*own_metadata, "started_unix_ms", field, listed.started_unix_ms);
     }
 
     void parse_number(const json& metadata, const char* name, const std::string& field,
@@ -175,11 +176,11 @@
     const std::string& source_;
     std::vector<openapi::Problem>& problems_;
     EndpointList& list_;
-    std::set<std::string> seen_;
+    std::set<std::string> seen_addresses_;
 };
 
-int line_of(std::string_view text, std::size_t byte) {
-    const auto before = text.substr(0, std::min(text.size(), byte));
+int line_at(std::string_view text, std::size_t byte_offset) {
+    const auto before = text.substr(0, std::min(text.size(), byte_offset));
     return 1 + static_cast<int>(std::count(before.begin(), before.end(), '\n'));
 }
 }  // namespace
@@ -193,7 +194,7 @@
     try {
         root = json::parse(text);
     } catch (const json::parse_error& error) {
-        problems.push_back({source, line_of(text, error.byte), "document",
+        problems.push_back({source, line_at(text, error.byte), "document",
                             std::string("valid JSON: ") + error.what()});
         return false;
     }
--- a/src/discovery/endpoint_list_updater.cpp
+++ b/src/discovery/endpoint_list_updater.cpp
@@ -33,7 +33,7 @@
             start_times_.convert(listed.entry.id, listed.started_unix_ms, loop_.now(), unix_ms);
         entries.push_back(std::move(listed.entry));
     }
-    start_times_.retain(entries);
+    start_times_.retain_only(entries);
     callbacks_.on_endpoints(std::move(entries));
 }
 
--- a/src/discovery/endpoint_list_updater.h
+++ b/src/discovery/endpoint_list_updater.h
@@ -1,4 +1,4 @@
-// Turns the text of an endpoint list into entries and passes them on where the text has changed.
+// Parses the text of an endpoint list and reports its entries when the text has changed.
 #pragma once
 
 #include <string>
@@ -11,14 +11,15 @@
 
 class EndpointListUpdater {
   public:
-    // Entries go to `on_endpoints` of `callbacks`, problems to `on_invalid_list`.
+    // Entries are passed to `on_endpoints` of `callbacks`, problems to `on_invalid_list`. `loop`
+    // must outlive this.
     EndpointListUpdater(event::Loop& loop, std::string cluster,
                         EndpointDiscoveryCallbacks callbacks);
 
-    // `source` names the text in problems. The same text as before changes nothing.
+    // `source` names the text in problems. A text equal to the previous one has no effect.
     void update(std::string_view text, const std::string& source);
     void report_unavailable(const DiscoveryError& error) const;
-    // Of the last valid list.
+    // The version of the last valid list.
     const std::string& version() const { return version_; }
 
   private:
--- a/src/discovery/file_discovery.cpp
+++ b/src/discovery/file_discovery.cpp
@@ -20,8 +20,8 @@
 void FileDiscovery::read_file() {
     std::ifstream in(path_, std::ios::binary);
     if (!in)
-        return updater_.report_unavailable(
-            {DiscoveryErrorCode::unreadable_file, path_, "cannot be read; the last list stays"});
+        return updater_.report_unavailable({DiscoveryErrorCode::unreadable_file, path_,
+                                            "cannot be read; the last valid list stays in use"});
     std::ostringstream text;
     text << in.rdbuf();
     updater_.update(text.str(), path_);
--- a/src/discovery/file_discovery.h
+++ b/src/discovery/file_discovery.h
@@ -1,4 +1,4 @@
-// Reads the endpoint list from a file, again whenever the file changes.
+// Reads the endpoint list from a file, and reads it again whenever the file changes.
 #pragma once
 
 #include <string>
@@ -10,7 +10,8 @@
 
 class FileDiscovery : public EndpointDiscovery {
   public:
-    // Reads the file before it returns. A file that cannot be read is reported and watched.
+    // Reads the file before the constructor returns. A file that cannot be read is reported, and is
+    // watched nevertheless.
     FileDiscovery(event::Loop& loop, std::string path, std::string cluster,
                   EndpointDiscoveryCallbacks callbacks);
 
--- a/src/discovery/rest_discovery.cpp
+++ b/src/discovery/rest_discovery.cpp
@@ -24,7 +24,7 @@
 
 void RestDiscovery::poll() {
     if (state_ == State::awaiting_response && loop_.now() - requested_at_ >= response_timeout)
-        on_failure(DiscoveryErrorCode::unresponsive, "no answer");
+        on_failure(DiscoveryErrorCode::unresponsive, "no response within the time limit");
     if (state_ == State::idle) send_request();
     schedule_poll();
 }
@@ -81,7 +81,7 @@
 }
 
 void RestDiscovery::on_end() {
-    on_failure(DiscoveryErrorCode::connection_lost, "the connection ended");
+    on_failure(DiscoveryErrorCode::connection_lost, "the service closed the connection");
 }
 
 void RestDiscovery::on_broken(int error) {
@@ -107,7 +107,8 @@
     if (!keep_alive_) stream_->close();
     const bool unchanged = status_ == 304;
     if (status_ != 200 && !unchanged)
-        return on_failure(DiscoveryErrorCode::unexpected_reply, fmt::format("status {}", status_));
+        return on_failure(DiscoveryErrorCode::unexpected_reply,
+                          fmt::format("unexpected HTTP status {}", status_));
     failure_reported_ = false;
     if (!unchanged) updater_.update(body_, "discovery " + service_.text());
 }
--- a/src/discovery/rest_discovery.h
+++ b/src/discovery/rest_discovery.h
@@ -1,8 +1,9 @@
 // Polls a discovery service for the endpoint list: xDS v3 over REST-JSON, on one persistent
-// connection that is opened again, at the next poll, after it was lost.
+// connection. A lost connection is reopened at the next poll.
 //
 //   idle               -> awaiting_response   at each poll interval
-//   awaiting_response  -> idle                on a response, a lost connection or the timeout
+//   awaiting_response  -> idle                on a response, a lost connection, or the first poll
+//                                             after the response timeout
 #pragma once
 
 #include <memory>
@@ -18,7 +19,8 @@
                       private event::StreamOwner,
                       private http::Parser::Events {
   public:
-    // Sends the first request before it returns. `config` must outlive this.
+    // Sends the first request before the constructor returns. `loop` and `config` must outlive
+    // this.
     RestDiscovery(event::Loop& loop, const config::Config& config,
                   EndpointDiscoveryCallbacks callbacks);
 
@@ -51,7 +53,8 @@
     EndpointListUpdater updater_;
     http::Parser parser_;
     std::unique_ptr<event::Stream> stream_;
-    // A stream may be lost within its own callback, so it is destroyed with the next request.
+    // A stream may be lost within its own callback, so it is destroyed before the next request
+    // instead.
     std::unique_ptr<event::Stream> retired_stream_;
     State state_ = State::idle;
     Micros requested_at_{0};
--- a/src/discovery/start_time_converter.h
+++ b/src/discovery/start_time_converter.h
@@ -1,6 +1,6 @@
 // Converts the start times that discovery reports from the wall clock to the gateway's monotonic
-// clock. Each start is converted once, so that a later step of either clock does not move it. No
-// I/O.
+// clock. Each start is converted once, so that a later step of either clock does not change the
+// result. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 class StartTimeConverter {
   public:
-    // The start on the monotonic clock, of which `now` is the present; 0 where `started_unix_ms` is
-    // 0 or less, which means long ago. A start in the future becomes `now`. A new start of the same
-    // endpoint never converts to the same time as the one before.
+    // Returns the start on the monotonic clock, whose current time is `now`, or 0 if
+    // `started_unix_ms` is 0 or less, which means long ago. A start in the future converts to
+    // `now`. A new start of an endpoint never converts to the same time as its previous start.
     Micros convert(const std::string& endpoint, std::int64_t started_unix_ms, Micros now,
                    std::int64_t unix_ms_now);
-    // Forgets the starts of all other endpoints.
-    void retain(const std::vector<EndpointEntry>& endpoints);
+    // Discards the starts of endpoints that are not in `endpoints`.
+    void retain_only(const std::vector<EndpointEntry>& endpoints);
 
   private:
     struct Conversion {
