--- a/src/peers/datagram_socket.cpp
+++ b/src/peers/datagram_socket.cpp
@@ -66,7 +66,7 @@
         socklen_t from_size = sizeof from;
         const ssize_t size = ::recvfrom(fd_.get(), buffer_.data(), buffer_.size(), MSG_TRUNC,
                                         reinterpret_cast<sockaddr*>(&from), &from_size);
-        // An earlier datagram reached a port that nobody listens on.
+        // The error concerns an earlier datagram, whose destination port has no listener.
         if (size < 0 && errno == ECONNREFUSED) continue;
         if (size < 0) return;
         const std::size_t received = std::min(static_cast<std::size_t>(size), buffer_.size());
--- a/src/peers/datagram_socket.h
+++ b/src/peers/datagram_socket.h
@@ -1,4 +1,4 @@
-// A bound, non-blocking UDP socket on the event loop, and the addresses that it talks to.
+// A bound, non-blocking UDP socket on the event loop, and the socket addresses it uses.
 #pragma once
 
 #include <netinet/in.h>
@@ -15,7 +15,7 @@
 
 namespace silverreach::peers {
 
-// An endpoint in the system's form.
+// An endpoint as a sockaddr of the operating system.
 class DatagramAddress {
   public:
     explicit DatagramAddress(const config::Endpoint& endpoint);
@@ -23,7 +23,7 @@
     int family() const { return storage_.ss_family; }
     const sockaddr* data() const { return reinterpret_cast<const sockaddr*>(&storage_); }
     socklen_t size() const { return size_; }
-    // The same family, IP address and port.
+    // Returns whether family, IP address and port are the same.
     bool matches(const sockaddr_storage& other) const;
 
   private:
@@ -33,16 +33,16 @@
 
 class DatagramSocket {
   public:
-    // Called on the loop's thread. `bytes` is valid during the call, and one byte longer than the
-    // limit where the datagram exceeds it.
+    // Called on the loop's thread. `bytes` is valid only during the call. A datagram above the size
+    // limit is cut to one byte more than the limit.
     using OnDatagram = std::function<void(std::string_view bytes, const sockaddr_storage& from)>;
 
-    // Binds to `local`. `description` begins the message of event::SystemError, which is thrown
-    // where the socket cannot be created or bound. `loop` must outlive this.
+    // Binds to `local`. Throws event::SystemError, whose message starts with `description`, if the
+    // socket cannot be created or bound. `loop` must outlive this.
     DatagramSocket(event::Loop& loop, const DatagramAddress& local, const std::string& description,
                    std::size_t max_datagram_bytes, OnDatagram on_datagram);
 
-    // False where the system did not take the datagram, which is then lost.
+    // Returns false if the system did not accept the datagram, which is then lost.
     bool send_to(const DatagramAddress& to, std::string_view datagram) const;
 
   private:
--- a/src/peers/envelope.h
+++ b/src/peers/envelope.h
@@ -1,5 +1,5 @@
-// The envelope of a datagram between instances: who sent it, and of which fleet. It tells a
-// misdirected or foreign datagram from one of the fleet's own; it is no cryptographic
+// The envelope of a datagram between instances, which identifies the sender and its fleet. It
+// distinguishes misdirected and foreign datagrams from those of the fleet; it is not cryptographic
 // authentication. No I/O.
 //
 //   "SRCH", version (1 byte), 0 (1), rank (2), XXH32 of the fleet's name (4), payload length (2),
@@ -19,18 +19,19 @@
 
 enum class DropReason {
     none,
-    truncated,         // the length does not match the payload
-    foreign_protocol,  // other magic bytes
+    truncated,         // shorter than the header, or the length does not match the payload
+    foreign_protocol,  // different magic bytes
     version_mismatch,
     fleet_mismatch,
     unknown_rank,
-    address_mismatch  // not from the address of the instance that it names
+    address_mismatch  // the source is not the address of the peer that the envelope names
 };
 inline constexpr std::size_t drop_reason_count = 7;
-// The name in the log.
+// Returns the field name in the log.
 std::string_view to_string(DropReason reason);
 
-// The datagram of `payload`, of at most max_envelope_payload_bytes, from instance `rank`.
+// Returns the datagram that carries `payload` from instance `rank`. `payload` has at most
+// max_envelope_payload_bytes.
 std::string encode_envelope(std::string_view payload, int rank, std::string_view fleet);
 
 struct DecodedEnvelope {
@@ -38,7 +39,7 @@
     int rank = -1;             // of the sender
     std::string_view payload;  // points into the datagram
 };
-// `instances`: the size of the fleet; ranks are below it.
+// `instances` is the number of instances in the fleet; valid ranks are below it.
 DecodedEnvelope decode_envelope(std::string_view datagram, std::string_view fleet, int instances);
 
 }  // namespace silverreach::peers
--- a/src/peers/envelope_transport.cpp
+++ b/src/peers/envelope_transport.cpp
@@ -18,7 +18,7 @@
       rank_(config.peers().rank()),
       addresses_(addresses_by_rank(config)),
       socket_(loop, addresses_[static_cast<std::size_t>(rank_)],
-              "peers: no socket at this instance's own address",
+              "peers: cannot open a socket at this instance's address",
               envelope_header_bytes + max_envelope_payload_bytes,
               [this](std::string_view datagram, const sockaddr_storage& from) {
                   on_datagram(datagram, from);
--- a/src/peers/envelope_transport.h
+++ b/src/peers/envelope_transport.h
@@ -1,5 +1,5 @@
-// PeerTransport with an envelope around each message (peers/envelope.h). A datagram is accepted
-// where its envelope names this fleet and an instance whose address it came from.
+// PeerTransport with an envelope around each message (peers/envelope.h). A datagram is accepted if
+// its envelope names this fleet and another instance, and its source is that instance's address.
 #pragma once
 
 #include <array>
@@ -14,17 +14,17 @@
 
 class EnvelopeTransport : public PeerTransport {
   public:
-    // Throws event::SystemError where this instance's address cannot be bound. `loop` and
-    // `config` must outlive this.
+    // Throws event::SystemError if this instance's address cannot be bound. `loop` and `config`
+    // must outlive this.
     EnvelopeTransport(event::Loop& loop, const config::Config& config, OnPeerMessage on_message);
 
     void send(int rank, std::string_view payload) override;
 
-    // Datagrams since the start.
+    // Numbers of datagrams since construction.
     struct Stats {
         std::uint64_t sent = 0;
         std::uint64_t received = 0;
-        std::uint64_t lost = 0;                                  // not taken by the socket
+        std::uint64_t lost = 0;                                  // not accepted by the socket
         std::array<std::uint64_t, drop_reason_count> dropped{};  // by DropReason
     };
     const Stats& stats() const { return stats_; }
--- a/src/peers/peer_transport.h
+++ b/src/peers/peer_transport.h
@@ -18,8 +18,8 @@
     PeerTransport& operator=(const PeerTransport&) = delete;
     virtual ~PeerTransport() = default;
 
-    // Sends to the instance of that rank, or to every other one where `rank` is below 0. What the
-    // socket does not take is lost and counted.
+    // Sends `payload` to the instance `rank`, or to all other instances if `rank` is negative. A
+    // datagram that the socket does not accept is lost and counted.
     virtual void send(int rank, std::string_view payload) = 0;
 };
 
--- a/src/peers/raw_transport.cpp
+++ b/src/peers/raw_transport.cpp
@@ -5,7 +5,7 @@
 namespace silverreach::peers {
 namespace {
 DatagramAddress ipv4_address(const config::Endpoint& endpoint) {
-    if (endpoint.v6) throw UnsupportedPeerAddress("peers: IPv4 addresses only");
+    if (endpoint.v6) throw UnsupportedPeerAddress("peers: only IPv4 addresses are supported");
     return DatagramAddress(endpoint);
 }
 std::vector<DatagramAddress> ipv4_addresses(const std::vector<config::Endpoint>& endpoints) {
@@ -25,8 +25,8 @@
       rank_(rank),
       addresses_(ipv4_addresses(peers)),
       broadcast_(broadcast ? std::optional(ipv4_address(*broadcast)) : std::nullopt),
-      socket_(loop, ipv4_address(listen), "peers: no socket at " + listen.text(), max_payload_bytes,
-              [this](std::string_view datagram, const sockaddr_storage& from) {
+      socket_(loop, ipv4_address(listen), "peers: cannot open a socket at " + listen.text(),
+              max_payload_bytes, [this](std::string_view datagram, const sockaddr_storage& from) {
                   on_datagram(datagram, from);
               }) {}
 
--- a/src/peers/raw_transport.h
+++ b/src/peers/raw_transport.h
@@ -1,5 +1,5 @@
-// PeerTransport of the platform: a datagram is the message alone. The sender is identified by its
-// address; datagrams from other addresses, or too long, are dropped.
+// PeerTransport in the platform's format: a datagram contains only the message. The sender is
+// identified by its address; datagrams from unknown addresses and oversized ones are dropped.
 #pragma once
 
 #include <cstdint>
@@ -20,23 +20,23 @@
 class RawTransport : public PeerTransport {
   public:
     static constexpr std::size_t max_payload_bytes = 256;
-    // `peers`: by rank, this instance included. `broadcast`: an address that reaches every other
-    // instance. Throws UnsupportedPeerAddress where an address is not IPv4, event::SystemError
-    // where `listen` cannot be bound. `loop` must outlive this.
+    // `peers` holds the addresses by rank, including this instance's. `broadcast` is an address
+    // that reaches all other instances. Throws UnsupportedPeerAddress if an address is not IPv4,
+    // and event::SystemError if `listen` cannot be bound. `loop` must outlive this.
     RawTransport(event::Loop& loop, const config::Endpoint& listen,
                  const std::vector<config::Endpoint>& peers,
                  const std::optional<config::Endpoint>& broadcast, int rank,
                  OnPeerMessage on_message);
 
-    // A payload over the limit is lost.
+    // A payload above max_payload_bytes is lost and counted.
     void send(int rank, std::string_view payload) override;
 
-    // Datagrams since the start.
+    // Numbers of datagrams since construction.
     struct Stats {
         std::uint64_t sent = 0;
         std::uint64_t received = 0;
-        std::uint64_t lost = 0;     // too long, or not taken by the socket
-        std::uint64_t dropped = 0;  // received and not accepted
+        std::uint64_t lost = 0;     // oversized, or not accepted by the socket
+        std::uint64_t dropped = 0;  // received but not accepted
     };
     const Stats& stats() const { return stats_; }
 
