--- a/src/registry/key_index.cpp
+++ b/src/registry/key_index.cpp
@@ -14,8 +14,8 @@
     return std::chrono::duration_cast<accounts::UnixTime>(event::Loop::clock());
 }
 
-// Why a key that is not valid is rejected; for the client, without any of the key's text.
-std::string rejection_of(accounts::KeyStatus status) {
+// Returns why a key is rejected. The text is sent to the client and contains no part of the key.
+std::string rejection_reason(accounts::KeyStatus status) {
     switch (status) {
         case accounts::KeyStatus::valid:
             break;
@@ -49,7 +49,7 @@
     return wall_clock_offset_ + monotonic_now();
 }
 
-// Runs on the background thread: it reads members that never change, and nothing else.
+// Reads only members that never change, since reloads call it on the background thread.
 std::unique_ptr<accounts::Registry> ReloadingKeyIndex::load() const {
     Disk disk;
     Store store(folder_, Store::Mode::read, false, disk);
@@ -79,7 +79,7 @@
                     });
 }
 
-// An older registry may lack a revocation that is already in force.
+// Rejects an older registry, since it may lack a revocation that is already in force.
 void ReloadingKeyIndex::on_reloaded(LoadResult& result) {
     if (!result.registry) return callbacks_.on_load_failed(result.error);
     const std::uint64_t loaded = result.registry->version();
@@ -100,9 +100,9 @@
 config::KeyIndex::Found ReloadingKeyIndex::by_key(std::string_view key) {
     const accounts::KeyLookup found = registry_->look_up(key, now());
     if (found.status != accounts::KeyStatus::valid)
-        return {std::nullopt, rejection_of(found.status)};
+        return {std::nullopt, rejection_reason(found.status)};
     const int plan = config::plan_index(config_, found.plan);
-    // Without the plan's settings the account would have no quota.
+    // Without its plan's settings, the account would have no quota.
     if (plan < 0) return {std::nullopt, "the account's plan is not known here"};
     return {config::AccountRef{found.account, plan, found.key_id}, {}};
 }
--- a/src/registry/key_index.h
+++ b/src/registry/key_index.h
@@ -1,7 +1,7 @@
-// Looks up the accounts behind keys in a registry folder, and follows the folder as it changes.
+// Looks up the accounts of keys in a registry folder, and reloads the registry when it changes.
 //
-// The folder is read on a background thread; everything else runs on the loop's thread. A registry
-// that cannot be read, or that is older than the one in use, is reported and not used.
+// Reloads read the folder on a background thread; everything else runs on the loop's thread. A
+// registry that cannot be read, or that is older than the one in use, is reported and not used.
 #pragma once
 
 #include <functional>
@@ -19,10 +19,10 @@
   public:
     struct Callbacks {
         std::function<void(std::uint64_t version)> on_loaded;
-        // The folder's registry is not used; the one before stays in use.
+        // The registry in the folder cannot be used; the previous one stays in use.
         std::function<void(const std::string& reason)> on_load_failed;
     };
-    // Loads the registry in `folder`; throws StoreError where that fails. `loop` and `config` must
+    // Loads the registry in `folder`; throws StoreError on failure. `loop` and `config` must
     // outlive this.
     ReloadingKeyIndex(event::Loop& loop, const config::Config& config, std::string folder,
                       Callbacks callbacks);
@@ -30,7 +30,7 @@
 
   private:
     struct LoadResult {
-        std::unique_ptr<accounts::Registry> registry;  // null where loading failed
+        std::unique_ptr<accounts::Registry> registry;  // null if loading failed
         std::string error;
     };
     std::unique_ptr<accounts::Registry> load() const;
@@ -38,11 +38,11 @@
     void reload();
     void on_reloaded(LoadResult& result);
     void use(std::unique_ptr<accounts::Registry> registry);
-    // The wall clock as it was at construction, advanced by the monotonic clock, so that a step of
-    // the wall clock changes no duration.
+    // Returns the wall-clock time of construction, advanced by the monotonic clock, so that a step
+    // of the wall clock does not change durations.
     accounts::UnixTime now() const;
 
-    const accounts::UnixTime wall_clock_offset_;  // of the monotonic clock
+    const accounts::UnixTime wall_clock_offset_;  // added to the monotonic clock
     const config::Config& config_;
     std::string folder_;
     Callbacks callbacks_;
--- a/src/registry/store.cpp
+++ b/src/registry/store.cpp
@@ -14,30 +14,30 @@
 Store::Store(const std::string& folder, Mode mode, bool create, Disk& disk)
     : folder_(folder), mode_(mode), disk_(disk) {
     initialize_cryptography();
-    const bool writes = mode == Mode::write;
+    const bool is_writer = mode == Mode::write;
     if (create) make_folder(folder);
-    if (writes) lock_ = lock_folder(folder);
+    if (is_writer) lock_ = lock_folder(folder);
     const int create_flag = create ? O_CREAT : 0;
-    const int flags = writes ? O_RDWR | create_flag : O_RDONLY;
+    const int flags = is_writer ? O_RDWR | create_flag : O_RDONLY;
     log_file_ = open_file(path_of("log"), flags);
     marker_file_ = open_file(path_of("mark"), flags);
     if (!log_file_ || !marker_file_) throw_system_error(folder + ": no registry here");
     const event::Fd secret_file = open_file(path_of("secret"), flags);
     if (!secret_file) throw_system_error(path_of("secret"));
 
-    // The marker is read before the log: a writer beside this reader extends the log before it
-    // moves the marker.
+    // The marker is read before the log, since a concurrent writer extends the log before it
+    // advances the marker.
     Contents contents;
     contents.secret = read_all(secret_file, path_of("secret"));
     contents.marker = read_all(marker_file_, path_of("mark"));
     contents.log = read_all(log_file_, path_of("log"));
-    if (writes && is_incomplete(contents)) initialize(secret_file, contents);
+    if (is_writer && is_incomplete(contents)) initialize(secret_file, contents);
     load_pepper(contents.secret);
     replay(contents);
 }
 
-// Writing the log's first bytes is the last step of creating a registry. Before that nothing was
-// acknowledged.
+// Returns whether the creation of the registry was interrupted. Its last step writes the log's
+// first bytes, and no change is acknowledged before.
 bool Store::is_incomplete(const Contents& contents) const {
     if (contents.log.size() >= accounts::log_magic.size()) return false;
     const auto marker = accounts::decode_marker(contents.marker);
@@ -66,11 +66,11 @@
 }
 
 void Store::replay(const Contents& contents) {
-    const bool writes = mode_ == Mode::write;
+    const bool is_writer = mode_ == Mode::write;
     const auto recovered =
         accounts::recover_log(contents.log, contents.marker,
-                              writes ? accounts::RecoverUpTo::last_complete_record
-                                     : accounts::RecoverUpTo::commit_marker);
+                              is_writer ? accounts::RecoverUpTo::last_complete_record
+                                        : accounts::RecoverUpTo::commit_marker);
     if (recovered.error)
         throw StoreError(StoreErrorCode::corrupt, path_of("log") + ": " + recovered.error->message);
     for (const accounts::Change& change : recovered.changes)
@@ -80,7 +80,7 @@
                                                           " does not fit: " + error->message);
     log_bytes_ = recovered.valid_bytes;
     last_marker_ = recovered.marker;
-    if (!writes || log_bytes_ >= contents.log.size()) return;
+    if (!is_writer || log_bytes_ >= contents.log.size()) return;
     if (!disk_.truncate(log_file_.get(), log_bytes_) || !disk_.sync(log_file_.get()))
         throw_system_error(path_of("log"));
 }
@@ -97,10 +97,10 @@
     const accounts::CommitMarker marker{last_marker_.sequence + 1, log_bytes_ + record.size()};
     if (!disk_.write(log_file_.get(), log_bytes_, record) || !disk_.sync(log_file_.get()))
         return roll_back();
-    const std::uint64_t slot_at = marker.sequence % 2 * accounts::marker_slot_bytes;
-    if (!disk_.write(marker_file_.get(), slot_at, accounts::encode_marker_slot(marker)) ||
+    const std::uint64_t slot_offset = marker.sequence % 2 * accounts::marker_slot_bytes;
+    if (!disk_.write(marker_file_.get(), slot_offset, accounts::encode_marker_slot(marker)) ||
         !disk_.sync(marker_file_.get())) {
-        // The marker may or may not be on the disk.
+        // The marker may or may not have reached the disk.
         outcome_unknown_ = true;
         return CommitError{CommitErrorCode::outcome_unknown,
                            path_of("mark") + ": " + std::strerror(errno) + outcome_unknown_note};
@@ -111,8 +111,8 @@
     return std::nullopt;
 }
 
-// Takes back what was written beyond the marker. Where that fails, a complete record may be found
-// at the next opening.
+// Truncates the log to the committed bytes. If that fails, the next opening may find a complete
+// record beyond the marker.
 CommitError Store::roll_back() {
     const std::string message = path_of("log") + ": " + std::strerror(errno);
     outcome_unknown_ = !disk_.truncate(log_file_.get(), log_bytes_) || !disk_.sync(log_file_.get());
--- a/src/registry/store.h
+++ b/src/registry/store.h
@@ -1,5 +1,5 @@
 // The registry on disk: a folder with `log`, `mark` (the commit marker), `secret` (the pepper) and
-// `lock`. One writer at a time; readers see what is committed.
+// `lock`. There is at most one writer at a time; readers see committed changes only.
 #pragma once
 
 #include <memory>
@@ -20,13 +20,13 @@
         read,
         write
     };
-    // Opens the registry in `folder`; `create` makes one where there is none. Throws StoreError
-    // where that fails. `disk` must outlive this.
+    // Opens the registry in `folder`, or creates it if `create` is set and there is none. Throws
+    // StoreError on failure. `disk` must outlive this.
     Store(const std::string& folder, Mode mode, bool create, Disk& disk);
 
     accounts::Registry& registry() { return *registry_; }
-    // Applies a change made at `at` and makes it durable; without an error it is committed. After
-    // the error outcome_unknown every later call returns `closed`.
+    // Applies a change made at `at` and makes it durable. Returns nullopt if the change is
+    // committed. After the error outcome_unknown, every later call returns `closed`.
     std::optional<CommitError> commit(const accounts::Operation& operation, accounts::UnixTime at);
 
   private:
--- a/src/registry/store_error.h
+++ b/src/registry/store_error.h
@@ -1,4 +1,4 @@
-// Why a registry folder cannot be opened, or a change to it was not committed.
+// The errors of opening a registry folder and of committing a change to it.
 #pragma once
 
 #include <stdexcept>
@@ -24,11 +24,11 @@
 };
 
 enum class CommitErrorCode {
-    rejected,         // the change is not valid; nothing was written
-    not_committed,    // the disk failed; the change was not made
-    outcome_unknown,  // the disk failed; whether it was made shows when the registry is opened
-                      // again
-    closed            // an earlier outcome is unknown; open the registry again
+    rejected,         // the change is invalid; nothing was written
+    not_committed,    // a disk operation failed; the change was not made
+    outcome_unknown,  // a disk operation failed; whether the change was made is known only after
+                      // the registry has been opened again
+    closed            // the outcome of an earlier commit is unknown; open the registry again
 };
 struct CommitError {
     CommitErrorCode code;
--- a/src/registry/store_files.cpp
+++ b/src/registry/store_files.cpp
@@ -19,12 +19,13 @@
 constexpr std::size_t read_chunk_bytes = 65536;
 }  // namespace
 
-bool Disk::write(int fd, std::uint64_t at, std::string_view bytes) {
+bool Disk::write(int fd, std::uint64_t offset, std::string_view bytes) {
     while (!bytes.empty()) {
-        const ssize_t written = ::pwrite(fd, bytes.data(), bytes.size(), static_cast<off_t>(at));
+        const ssize_t written =
+            ::pwrite(fd, bytes.data(), bytes.size(), static_cast<off_t>(offset));
         if (written < 0 && errno == EINTR) continue;
         if (written <= 0) return false;
-        at += static_cast<std::uint64_t>(written);
+        offset += static_cast<std::uint64_t>(written);
         bytes.remove_prefix(static_cast<std::size_t>(written));
     }
     return true;
@@ -36,9 +37,9 @@
     return ::ftruncate(fd, static_cast<off_t>(size)) == 0;
 }
 
-void throw_system_error(const std::string& what) {
+void throw_system_error(const std::string& context) {
     const auto code = errno == ENOENT ? StoreErrorCode::not_found : StoreErrorCode::io;
-    throw StoreError(code, what + ": " + std::strerror(errno));
+    throw StoreError(code, context + ": " + std::strerror(errno));
 }
 
 void initialize_cryptography() {
