--- a/src/accounts/change.h
+++ b/src/accounts/change.h
@@ -1,4 +1,4 @@
-// The changes that a registry of accounts, plans and keys consists of, and why one is rejected.
+// The changes that make up a registry of accounts, plans and keys, and the errors of rejected ones.
 #pragma once
 
 #include <chrono>
@@ -12,10 +12,10 @@
 
 namespace silverreach::accounts {
 
-using UnixTime = std::chrono::milliseconds;  // since 1970
+using UnixTime = std::chrono::milliseconds;  // since the Unix epoch
 inline constexpr UnixTime never = UnixTime::max();
 
-// Values are stored in the log.
+// The numeric values are stored in the log.
 enum class RevocationCause {
     none,  // not revoked
     requested,
@@ -23,7 +23,7 @@
     account_closed,
     account_merged
 };
-// The names that commands and lists use.
+// Convert to and from the names that are used on the command line and in listings.
 std::string_view to_string(RevocationCause cause);
 std::optional<RevocationCause> parse_revocation_cause(std::string_view name);
 
@@ -32,7 +32,7 @@
 };
 struct RemovePlan {
     std::string plan;
-    std::string successor;  // the plan that its accounts move to; may be empty where it has none
+    std::string successor;  // the plan that its accounts move to; may be empty if it has none
 };
 // Adds an account, or moves it to another plan.
 struct PutAccount {
@@ -51,30 +51,30 @@
     UnixTime valid_from{0};
     UnixTime valid_until = never;
 };
-// Issues `successor`; both keys are valid until the overlap ends.
+// Issues the key `successor` to replace `id`; both are valid until the overlap ends.
 struct RotateKey {
     std::string id;
     std::string successor;
     KeyHash hash{};
-    UnixTime overlap{0};
+    UnixTime overlap{0};  // duration
 };
 struct RevokeKey {
     std::string id;
     UnixTime valid_until{0};
     RevocationCause cause = RevocationCause::requested;
 };
-// The alternatives' order is stored in the log.
+// The index of the alternative is stored in the log, so the order must not change.
 using Operation =
     std::variant<AddPlan, RemovePlan, PutAccount, MergeAccounts, IssueKey, RotateKey, RevokeKey>;
 
 struct Change {
-    std::uint64_t version = 0;  // one more than the version of the registry it applies to
-    UnixTime at{0};             // when it was made
+    std::uint64_t version = 0;  // one more than the version of the registry that it applies to
+    UnixTime at{0};             // when the change was made
     Operation operation;
 };
 
 enum class ChangeErrorCode {
-    version_mismatch,  // it does not follow the registry's version
+    version_mismatch,  // the change's version does not follow the registry's
     invalid_argument,
     already_exists,
     not_found,
--- a/src/accounts/change_codec.cpp
+++ b/src/accounts/change_codec.cpp
@@ -9,7 +9,8 @@
 constexpr int time_width = 8;
 constexpr int tag_width = 1;
 
-// The fields of each operation in the order of the log; `visitor` is a ByteWriter or ByteReader.
+// Visits the fields of an operation in the order of the log; `visitor` is a ByteWriter or a
+// ByteReader.
 template <typename Visitor, typename... Fields>
 void visit_in_order(Visitor& visitor, Fields&... fields) {
     (visitor(fields), ...);
@@ -35,7 +36,8 @@
         visit_in_order(visitor, operation.id, operation.valid_until, operation.cause);
 }
 
-// An operation with default fields, of the alternative at `index`.
+// Returns an operation of the alternative at `index` with default fields, or nullopt if there is no
+// such alternative.
 template <std::size_t... Indices>
 std::optional<Operation> operation_at(std::uint64_t index, std::index_sequence<Indices...>) {
     std::optional<Operation> operation;
@@ -44,57 +46,57 @@
 }
 }  // namespace
 
-void ByteWriter::number(std::uint64_t value, int width) {
+void ByteWriter::write_number(std::uint64_t value, int width) {
     for (int i = width - 1; i >= 0; --i)
         bytes.push_back(static_cast<char>(value >> (8 * i) & 0xFF));
 }
 void ByteWriter::operator()(const std::string& text) {
-    number(text.size(), text_length_width);
+    write_number(text.size(), text_length_width);
     bytes.append(text);
 }
 void ByteWriter::operator()(const KeyHash& hash) {
     bytes.append(reinterpret_cast<const char*>(hash.data()), hash.size());
 }
 void ByteWriter::operator()(UnixTime time) {
-    number(static_cast<std::uint64_t>(time.count()), time_width);
+    write_number(static_cast<std::uint64_t>(time.count()), time_width);
 }
 void ByteWriter::operator()(RevocationCause cause) {
-    number(static_cast<std::uint64_t>(cause), tag_width);
+    write_number(static_cast<std::uint64_t>(cause), tag_width);
 }
 
-std::uint8_t ByteReader::byte() {
-    if (rest_.empty()) {
+std::uint8_t ByteReader::read_byte() {
+    if (remaining_.empty()) {
         failed_ = true;
         return 0;
     }
-    const auto value = static_cast<std::uint8_t>(rest_.front());
-    rest_.remove_prefix(1);
+    const auto value = static_cast<std::uint8_t>(remaining_.front());
+    remaining_.remove_prefix(1);
     return value;
 }
-std::uint64_t ByteReader::number(int width) {
+std::uint64_t ByteReader::read_number(int width) {
     std::uint64_t value = 0;
     for (int i = 0; i < width; ++i)
-        value = value << 8 | byte();
+        value = value << 8 | read_byte();
     return value;
 }
 void ByteReader::operator()(std::string& text) {
-    const std::uint64_t length = number(text_length_width);
-    if (length > rest_.size()) {
+    const std::uint64_t length = read_number(text_length_width);
+    if (length > remaining_.size()) {
         failed_ = true;
         return;
     }
-    text = rest_.substr(0, length);
-    rest_.remove_prefix(length);
+    text = remaining_.substr(0, length);
+    remaining_.remove_prefix(length);
 }
 void ByteReader::operator()(KeyHash& hash) {
     for (std::uint8_t& value : hash)
-        value = byte();
+        value = read_byte();
 }
 void ByteReader::operator()(UnixTime& time) {
-    time = UnixTime(static_cast<std::int64_t>(number(time_width)));
+    time = UnixTime(static_cast<std::int64_t>(read_number(time_width)));
 }
 void ByteReader::operator()(RevocationCause& cause) {
-    const std::uint64_t value = number(tag_width);
+    const std::uint64_t value = read_number(tag_width);
     if (value > static_cast<std::uint64_t>(RevocationCause::account_merged))
         failed_ = true;
     else
@@ -103,9 +105,9 @@
 
 std::string encode_change(const Change& change) {
     ByteWriter writer;
-    writer.number(change.version, version_width);
+    writer.write_number(change.version, version_width);
     writer(change.at);
-    writer.number(change.operation.index(), tag_width);
+    writer.write_number(change.operation.index(), tag_width);
     std::visit([&](const auto& operation) { visit_fields(writer, operation); }, change.operation);
     return std::move(writer.bytes);
 }
@@ -113,9 +115,9 @@
 std::optional<Change> decode_change(std::string_view bytes) {
     ByteReader reader(bytes);
     Change change;
-    change.version = reader.number(version_width);
+    change.version = reader.read_number(version_width);
     reader(change.at);
-    auto operation = operation_at(reader.number(tag_width),
+    auto operation = operation_at(reader.read_number(tag_width),
                                   std::make_index_sequence<std::variant_size_v<Operation>>());
     if (!operation) return std::nullopt;
     std::visit([&](auto& fields) { visit_fields(reader, fields); }, *operation);
--- a/src/accounts/key.cpp
+++ b/src/accounts/key.cpp
@@ -8,24 +8,24 @@
 namespace {
 constexpr std::string_view prefix = "srk_";
 constexpr std::string_view alphabet = "0123456789abcdefghjkmnpqrstvwxyz";
-constexpr unsigned bits_per_letter = 5;
+constexpr unsigned bits_per_character = 5;
 constexpr std::size_t id_random_bytes = 7;
 
 const std::uint8_t* bytes_of(std::string_view text) {
     return reinterpret_cast<const std::uint8_t*>(text.data());
 }
 
-// `count` letters from the bytes' bits, from the first byte on.
+// Encodes the leading bits of `bytes` as `count` characters.
 std::string encode_base32(const std::uint8_t* bytes, std::size_t count) {
     std::string text;
     unsigned bits = 0;
     unsigned bit_count = 0;
     while (text.size() < count) {
-        if (bit_count < bits_per_letter) {
+        if (bit_count < bits_per_character) {
             bits = bits << 8 | *bytes++;
             bit_count += 8;
         }
-        bit_count -= bits_per_letter;
+        bit_count -= bits_per_character;
         text.push_back(alphabet[bits >> bit_count & 31]);
     }
     return text;
@@ -41,13 +41,13 @@
 }  // namespace
 
 ParsedKey parse_key(std::string_view text) {
-    constexpr std::size_t separator_at = prefix.size() + id_length;
-    if (text.size() != key_length || !text.starts_with(prefix) || text[separator_at] != '_')
+    constexpr std::size_t separator_offset = prefix.size() + id_length;
+    if (text.size() != key_length || !text.starts_with(prefix) || text[separator_offset] != '_')
         return {};
     const std::string_view id = text.substr(prefix.size(), id_length);
-    if (!is_base32(id) || !is_base32(text.substr(separator_at + 1))) return {};
-    constexpr std::size_t checksum_at = key_length - checksum_length;
-    if (text.substr(checksum_at) != checksum_of(text.substr(0, checksum_at)))
+    if (!is_base32(id) || !is_base32(text.substr(separator_offset + 1))) return {};
+    constexpr std::size_t checksum_offset = key_length - checksum_length;
+    if (text.substr(checksum_offset) != checksum_of(text.substr(0, checksum_offset)))
         return {KeyFormat::checksum_mismatch, {}};
     return {KeyFormat::valid, id};
 }
--- a/src/accounts/key.h
+++ b/src/accounts/key.h
@@ -1,10 +1,10 @@
-// The text of an API key, and the hash that is stored of it. No I/O.
+// The text of an API key, and the hash of it that is stored. No I/O.
 //
-//   srk_<id: 10>_<secret: 32><checksum: 4>    letters and digits of Crockford's base32, lower case
+//   srk_<id: 10>_<secret: 32><checksum: 4>    characters of Crockford's base32, in lower case
 //
-// The id is public: it appears in logs and lists. The checksum covers all before it, so that a
-// mistyped key can be distinguished from an unknown one without a lookup. Only a keyed hash of a
-// key is stored (BLAKE2b under the registry's pepper).
+// The id is public: it appears in logs and listings. The checksum covers everything before it, so
+// that a mistyped key is distinguished from an unknown one without a lookup. Only a keyed hash of a
+// key is stored (BLAKE2b, keyed with the registry's pepper).
 #pragma once
 
 #include <array>
@@ -16,7 +16,8 @@
 
 using Bytes32 = std::array<std::uint8_t, 32>;
 using KeyHash = Bytes32;
-using Pepper = Bytes32;  // the registry's secret; with it and the hashes, guesses can be tested
+// The registry's secret. Whoever has it and the stored hashes can test guessed keys.
+using Pepper = Bytes32;
 
 inline constexpr std::size_t id_length = 10;
 inline constexpr std::size_t secret_length = 32;
@@ -34,11 +35,11 @@
 };
 ParsedKey parse_key(std::string_view text);
 
-// The text of a key from 32 random bytes: 7 for the id, 20 for the secret.
+// Returns the text of a key made from random bytes: 7 for the id, the next 20 for the secret.
 std::string make_key(const Bytes32& random);
 
 KeyHash hash_key(const Pepper& pepper, std::string_view text);
-// Takes the same time whatever the hashes are.
+// The time that the comparison takes does not depend on the hashes.
 bool constant_time_equal(const KeyHash& left, const KeyHash& right);
 
 }  // namespace silverreach::accounts
--- a/src/accounts/registry.cpp
+++ b/src/accounts/registry.cpp
@@ -6,11 +6,11 @@
 namespace {
 constexpr std::size_t max_name_length = 200;
 
-// Names are written to logs, files and messages unescaped.
+// Names are written to logs, files and messages without escaping.
 bool is_valid_name(std::string_view name) {
     return !name.empty() && name.size() <= max_name_length &&
-           std::all_of(name.begin(), name.end(), [](unsigned char c) {
-               return c > 0x20 && c < 0x7F && c != '"' && c != '\\';
+           std::all_of(name.begin(), name.end(), [](unsigned char character) {
+               return character > 0x20 && character < 0x7F && character != '"' && character != '\\';
            });
 }
 
@@ -140,7 +140,7 @@
     return std::nullopt;
 }
 
-// ---- execution, of operations that are valid ----
+// ---- execution of validated operations ----
 
 void Registry::execute(const AddPlan& operation, UnixTime) {
     plans_[operation.plan] = version_ + 1;
@@ -165,14 +165,15 @@
                            operation.valid_until, RevocationCause::none, {}};
 }
 
-// The successor expires when the old key was to. The old key's expiry only ever moves earlier.
+// The successor takes over the old key's expiry. A rotation moves the old key's expiry only to an
+// earlier time.
 void Registry::execute(const RotateKey& operation, UnixTime at) {
     Key& old_key = keys_.at(operation.id);
     const Key successor{old_key.account,     operation.hash,        at,
                         old_key.valid_until, RevocationCause::none, {}};
-    const UnixTime until_end_of_time = UnixTime::max() - at;
+    const UnixTime max_overlap = UnixTime::max() - at;
     old_key.valid_until =
-        std::min(old_key.valid_until, at + std::min(operation.overlap, until_end_of_time));
+        std::min(old_key.valid_until, at + std::min(operation.overlap, max_overlap));
     old_key.successor = operation.successor;
     keys_[operation.successor] = successor;
 }
@@ -210,8 +211,8 @@
     if (parsed.format == KeyFormat::malformed) return {KeyStatus::malformed, {}, {}, {}};
     if (parsed.format == KeyFormat::checksum_mismatch)
         return {KeyStatus::checksum_mismatch, {}, {}, {}};
-    // The hash is computed and compared whether the id is known or not, so that the time taken does
-    // not reveal which ids exist.
+    // The hash is computed and compared for unknown ids as well, so that the response time does not
+    // reveal which ids exist.
     static const Key unknown_key;
     const KeyHash hash = hash_key(pepper_, text);
     const auto it = keys_.find(std::string(parsed.id));
--- a/src/accounts/registry.h
+++ b/src/accounts/registry.h
@@ -1,8 +1,8 @@
-// Accounts, plans and keys, and whether a key is valid at a time. No I/O; time is passed in, by the
-// wall clock.
+// Holds accounts, plans and keys, and determines whether a key is valid at a given time. No I/O;
+// the caller passes wall-clock times.
 //
-// The registry is modified by changes only, each of which is applied completely or not at all. The
-// same changes in the same order give the same registry everywhere.
+// Only changes modify the registry, and each is applied completely or not at all. The same changes
+// in the same order result in the same registry on every instance.
 #pragma once
 
 #include <algorithm>
@@ -22,7 +22,7 @@
     UnixTime valid_from{0};
     UnixTime valid_until = never;  // exclusive
     RevocationCause cause = RevocationCause::none;
-    std::string successor;  // the key that a rotation issued in its place
+    std::string successor;  // the key that a rotation issued to replace this one
 };
 struct Account {
     std::string plan;
@@ -35,14 +35,14 @@
     checksum_mismatch,
     unknown,
     not_yet_valid,
-    expired  // also revoked
+    expired  // or revoked
 };
-// The name that `silverreach keys show` prints.
+// Returns the name that `silverreach keys show` prints.
 std::string_view to_string(KeyStatus status);
 
 struct KeyLookup {
     KeyStatus status = KeyStatus::unknown;
-    // Of the account that counts, after merges; empty where the key is not known.
+    // The account that the key counts for, after merges, and its plan; empty if the key is unknown.
     std::string account;
     std::string plan;
     std::string key_id;
@@ -50,31 +50,32 @@
 
 class Registry {
   public:
-    // `clock_skew`: by how much the clocks of instances may be wrong. A key becomes valid and
-    // expires that much earlier, so that no clock within it serves a key that has expired.
+    // `clock_skew` is the largest error of an instance's clock. Keys become valid and expire
+    // earlier by this much, so that no instance whose clock error is within it serves an expired
+    // key.
     explicit Registry(const Pepper& pepper, UnixTime clock_skew = UnixTime(0))
         : pepper_(pepper), clock_skew_(clock_skew) {}
 
-    // Applies the change; nothing has changed where it returns an error.
+    // Applies the change, or returns an error and changes nothing.
     std::optional<ChangeError> apply(const Change& change);
-    // The error that apply() would return.
+    // Returns the error that apply() would return.
     std::optional<ChangeError> check(const Change& change) const;
 
-    // The key's account and status at `now`. A time below the latest one seen counts as that one,
-    // so a clock that steps back revives no key.
+    // Returns the status of the key at `now`, and its account. A time before the latest one seen
+    // counts as the latest one, so that an expired key stays expired when the clock steps back.
     KeyLookup look_up(std::string_view text, UnixTime now);
 
-    // Times below `at` count as `at` from now on.
+    // From now on, times before `at` count as `at`.
     void advance_clock(UnixTime at) { latest_time_ = std::max(latest_time_, at); }
     UnixTime latest_time() const { return latest_time_; }
     void set_clock_skew(UnixTime skew) { clock_skew_ = skew; }
 
     std::uint64_t version() const { return version_; }
     const std::unordered_map<std::string, Account>& accounts() const { return accounts_; }
-    // The version that added each plan.
+    // By name, with the registry version that added the plan.
     const std::map<std::string, std::uint64_t>& plans() const { return plans_; }
     const std::unordered_map<std::string, Key>& keys() const { return keys_; }  // by id
-    // The account that `account` counts for, after all merges.
+    // Returns the account that `account` counts for, after all merges.
     std::string resolve_merges(const std::string& account) const;
     const Pepper& pepper() const { return pepper_; }
 
