--- a/src/registry/key_index.cpp
+++ b/src/registry/key_index.cpp
@@ -85,7 +85,8 @@
     const std::uint64_t loaded = result.registry->version();
     const std::uint64_t current = registry_->version();
     if (loaded < current)
-        return callbacks_.on_load_failed("version " + std::to_string(loaded) + " is older than " +
+        return callbacks_.on_load_failed("version " + std::to_string(loaded) +
+                                         " is older than the version in use, " +
                                          std::to_string(current));
     if (loaded == current) return;
     result.registry->advance_clock(registry_->latest_time());
--- a/src/registry/store.cpp
+++ b/src/registry/store.cpp
@@ -8,7 +8,7 @@
 namespace silverreach::registry {
 namespace {
 constexpr const char* outcome_unknown_note =
-    "; whether the change was made shows when it is opened again";
+    "; whether the change was made is known after the registry has been opened again";
 }
 
 Store::Store(const std::string& folder, Mode mode, bool create, Disk& disk)
@@ -21,7 +21,7 @@
     const int flags = is_writer ? O_RDWR | create_flag : O_RDONLY;
     log_file_ = open_file(path_of("log"), flags);
     marker_file_ = open_file(path_of("mark"), flags);
-    if (!log_file_ || !marker_file_) throw_system_error(folder + ": no registry here");
+    if (!log_file_ || !marker_file_) throw_system_error(folder + ": cannot open the registry");
     const event::Fd secret_file = open_file(path_of("secret"), flags);
     if (!secret_file) throw_system_error(path_of("secret"));
 
@@ -58,9 +58,9 @@
 void Store::load_pepper(const std::string& secret) {
     accounts::Pepper pepper{};
     if (secret.size() != pepper.size())
-        throw StoreError(
-            StoreErrorCode::corrupt,
-            path_of("secret") + ": expected 32 bytes; the log's keys are of no use without it");
+        throw StoreError(StoreErrorCode::corrupt,
+                         path_of("secret") +
+                             ": expected 32 bytes; without it no key of the log can be verified");
     std::memcpy(pepper.data(), secret.data(), pepper.size());
     registry_ = std::make_unique<accounts::Registry>(pepper);
 }
@@ -77,7 +77,7 @@
         if (const auto error = registry_->apply(change))
             throw StoreError(StoreErrorCode::corrupt, path_of("log") + ": change " +
                                                           std::to_string(change.version) +
-                                                          " does not fit: " + error->message);
+                                                          " cannot be applied: " + error->message);
     log_bytes_ = recovered.valid_bytes;
     last_marker_ = recovered.marker;
     if (!is_writer || log_bytes_ >= contents.log.size()) return;
@@ -89,7 +89,8 @@
                                          accounts::UnixTime at) {
     if (outcome_unknown_)
         return CommitError{CommitErrorCode::closed,
-                           "the disk failed before; open the registry again"};
+                           "after a disk failure it is unknown whether an earlier change was made; "
+                           "open the registry again"};
     const accounts::Change change{registry_->version() + 1, at, operation};
     if (const auto error = registry_->check(change))
         return CommitError{CommitErrorCode::rejected, error->message};
--- a/src/registry/store_files.cpp
+++ b/src/registry/store_files.cpp
@@ -44,7 +44,8 @@
 
 void initialize_cryptography() {
     if (sodium_init() < 0)
-        throw StoreError(StoreErrorCode::no_randomness, "no source of random numbers");
+        throw StoreError(StoreErrorCode::no_randomness,
+                         "the system has no source of random numbers");
 }
 
 accounts::Bytes32 random_bytes() {
@@ -69,11 +70,12 @@
     if (!lock && errno == ENOENT)
         throw StoreError(
             StoreErrorCode::not_found,
-            folder + ": no registry here; 'silverreach keys plan NAME --make' makes one");
+            folder +
+                ": no registry in this folder; 'silverreach keys plan NAME --make' creates one");
     if (!lock) throw_system_error(path);
     if (::flock(lock.get(), LOCK_EX | LOCK_NB) != 0)
         throw StoreError(StoreErrorCode::locked,
-                         folder + ": another writer has the registry; nothing was changed");
+                         folder + ": another writer has locked the registry; nothing was changed");
     return lock;
 }
 
