--- a/src/accounts/change_log.cpp
+++ b/src/accounts/change_log.cpp
@@ -45,10 +45,10 @@
 // Checks the start and the size of the log before any record is read.
 std::optional<LogError> check_start_and_size(std::string_view log, const CommitMarker& marker) {
     if (!log.starts_with(log_magic))
-        return error_at(0, LogErrorCode::unknown_format, "no log of this version");
+        return error_at(0, LogErrorCode::unknown_format, "not a registry log of this version");
     if (marker.committed_bytes > log.size())
         return error_at(log.size(), LogErrorCode::truncated,
-                        "the log is shorter than what was acknowledged");
+                        "the log is shorter than its acknowledged part");
     return std::nullopt;
 }
 }  // namespace
@@ -91,8 +91,8 @@
     // The marker is complete before the log's first bytes are written, and at least one of its
     // slots is valid at any time after that.
     if (!marker && log.size() >= log_magic.size()) {
-        recovered.error = LogError{LogErrorCode::marker_invalid,
-                                   "the mark of what was acknowledged is damaged or gone"};
+        recovered.error =
+            LogError{LogErrorCode::marker_invalid, "the commit marker is damaged or missing"};
         return recovered;
     }
     recovered.marker = marker.value_or(CommitMarker{});
@@ -113,8 +113,8 @@
             recovered.error =
                 record.checksum_valid
                     ? error_at(offset, LogErrorCode::record_of_other_version,
-                               "a change of another version")
-                    : error_at(offset, LogErrorCode::record_damaged, "a damaged change");
+                               "a change in the format of another version")
+                    : error_at(offset, LogErrorCode::record_damaged, "a damaged record");
             return recovered;
         }
         recovered.changes.push_back(std::move(*record.change));
--- a/src/accounts/registry.cpp
+++ b/src/accounts/registry.cpp
@@ -37,7 +37,8 @@
 std::optional<ChangeError> Registry::check(const Change& change) const {
     if (change.version != version_ + 1)
         return ChangeError{ChangeErrorCode::version_mismatch,
-                           "version " + std::to_string(change.version) + " does not follow " +
+                           "version " + std::to_string(change.version) +
+                               " of the change does not follow the registry's version " +
                                std::to_string(version_)};
     return std::visit([&](const auto& operation) { return validate(operation, change.at); },
                       change.operation);
@@ -55,88 +56,95 @@
 
 Registry::Error Registry::validate(const AddPlan& operation, UnixTime) const {
     if (!is_valid_name(operation.plan))
-        return invalid_argument("a plan's name is 1 to 200 printable characters without spaces");
+        return invalid_argument(
+            "a plan name must have 1 to 200 printable ASCII characters other than spaces, double "
+            "quotes and backslashes");
     if (plans_.contains(operation.plan))
-        return already_exists("plan " + operation.plan + " exists already");
+        return already_exists("plan " + operation.plan + " already exists");
     return std::nullopt;
 }
 
 Registry::Error Registry::validate(const RemovePlan& operation, UnixTime) const {
     const auto& [plan, successor] = operation;
-    if (!plans_.contains(plan)) return not_found("no plan " + plan);
+    if (!plans_.contains(plan)) return not_found("there is no plan " + plan);
     const bool in_use =
         std::any_of(accounts_.begin(), accounts_.end(),
                     [&name = plan](const auto& entry) { return entry.second.plan == name; });
     if (successor.empty()) {
         if (!in_use) return std::nullopt;
         return failed_precondition("plan " + plan +
-                                   " is in use: name the plan that its accounts go over to");
+                                   " is in use; specify the plan that its accounts move to");
     }
     if (successor == plan || !plans_.contains(successor))
-        return not_found("no plan " + successor + " to go over to");
+        return not_found("there is no plan " + successor + " that the accounts can move to");
     return std::nullopt;
 }
 
 Registry::Error Registry::validate(const PutAccount& operation, UnixTime) const {
     if (!is_valid_name(operation.account))
         return invalid_argument(
-            "an account's name is 1 to 200 printable characters without spaces");
-    if (!plans_.contains(operation.plan)) return not_found("no plan " + operation.plan);
+            "an account name must have 1 to 200 printable ASCII characters other than spaces, "
+            "double quotes and backslashes");
+    if (!plans_.contains(operation.plan)) return not_found("there is no plan " + operation.plan);
     const Account* account = find_account(operation.account);
     if (account && !account->merged_into.empty())
-        return failed_precondition("account " + operation.account + " is merged into " +
+        return failed_precondition("account " + operation.account + " has been merged into " +
                                    account->merged_into);
     return std::nullopt;
 }
 
 Registry::Error Registry::validate(const MergeAccounts& operation, UnixTime) const {
     const Account* from = find_account(operation.from);
-    if (!from) return not_found("no account " + operation.from);
-    if (!find_account(operation.into)) return not_found("no account " + operation.into);
+    if (!from) return not_found("there is no account " + operation.from);
+    if (!find_account(operation.into)) return not_found("there is no account " + operation.into);
     if (!from->merged_into.empty())
-        return failed_precondition("account " + operation.from + " is merged into " +
+        return failed_precondition("account " + operation.from + " has been merged into " +
                                    from->merged_into + " already");
     if (resolve_merges(operation.into) == operation.from)
         return failed_precondition("account " + operation.into + " counts for " + operation.from +
-                                   " itself");
+                                   ", which cannot be merged into it");
     return std::nullopt;
 }
 
 Registry::Error Registry::validate(const IssueKey& operation, UnixTime) const {
     if (auto error = validate_new_key_id(operation.id)) return error;
-    if (!find_account(operation.account)) return not_found("no account " + operation.account);
+    if (!find_account(operation.account))
+        return not_found("there is no account " + operation.account);
     if (operation.valid_until <= operation.valid_from)
-        return invalid_argument("the key would end before it starts");
+        return invalid_argument("the key must expire after it becomes valid");
     return std::nullopt;
 }
 
 Registry::Error Registry::validate(const RotateKey& operation, UnixTime at) const {
     const auto it = keys_.find(operation.id);
-    if (it == keys_.end()) return not_found("no key " + operation.id);
+    if (it == keys_.end()) return not_found("there is no key " + operation.id);
     const Key& key = it->second;
     if (key.valid_until <= at)
-        return failed_precondition("key " + operation.id + " has ended; issue a new one");
+        return failed_precondition("key " + operation.id + " has expired; issue a new one");
     if (!key.successor.empty())
-        return failed_precondition("key " + operation.id + " is rotated already, to " +
+        return failed_precondition("key " + operation.id + " has already been rotated to " +
                                    key.successor);
-    if (operation.overlap < UnixTime(0)) return invalid_argument("an overlap of 0 or more");
+    if (operation.overlap < UnixTime(0))
+        return invalid_argument("the overlap must not be negative");
     return validate_new_key_id(operation.successor);
 }
 
 Registry::Error Registry::validate(const RevokeKey& operation, UnixTime) const {
     const auto it = keys_.find(operation.id);
-    if (it == keys_.end()) return not_found("no key " + operation.id);
-    if (operation.cause == RevocationCause::none) return invalid_argument("a cause of revocation");
+    if (it == keys_.end()) return not_found("there is no key " + operation.id);
+    if (operation.cause == RevocationCause::none)
+        return invalid_argument("a revocation requires a cause");
     if (it->second.valid_until <= operation.valid_until)
-        return failed_precondition("key " + operation.id + " ends before that already");
+        return failed_precondition("key " + operation.id +
+                                   " already expires at or before the time of the revocation");
     return std::nullopt;
 }
 
 Registry::Error Registry::validate_new_key_id(const std::string& id) const {
     if (id.size() != id_length || !is_valid_name(id))
-        return invalid_argument("key id '" + id + "' is not of " + std::to_string(id_length) +
-                                " letters");
-    if (keys_.contains(id)) return already_exists("key " + id + " exists already");
+        return invalid_argument("key id '" + id + "' must have " + std::to_string(id_length) +
+                                " printable characters");
+    if (keys_.contains(id)) return already_exists("key " + id + " already exists");
     return std::nullopt;
 }
 
