--- a/tests/accounts/accounts_test.cpp
+++ b/tests/accounts/accounts_test.cpp
@@ -22,10 +22,10 @@
 constexpr UnixTime second(1000), hour(3'600'000);
 const UnixTime t0(1'800'000'000'000);
 
-std::string key_text(std::uint8_t n) {
+std::string key_text(std::uint8_t seed) {
     Bytes32 random{};
-    random.fill(n);
-    random[0] = static_cast<std::uint8_t>(n * 7);
+    random.fill(seed);
+    random[0] = static_cast<std::uint8_t>(seed * 7);
     return make_key(random);
 }
 std::string id_of(const std::string& text) {
@@ -33,190 +33,204 @@
 }
 
 struct TestRegistry {
-    Registry r;
+    Registry registry;
     UnixTime at = t0;
-    explicit TestRegistry(UnixTime skew = UnixTime(0)) : r(Pepper{1, 2, 3}, skew) {}
-    // The error's message; empty where the operation was applied.
-    std::string make(Operation operation) {
-        const auto error = r.apply({r.version() + 1, at, std::move(operation)});
+    explicit TestRegistry(UnixTime skew = UnixTime(0)) : registry(Pepper{1, 2, 3}, skew) {}
+    // The error's message; empty if the operation was applied.
+    std::string apply(Operation operation) {
+        const auto error = registry.apply({registry.version() + 1, at, std::move(operation)});
         return error ? error->message : "";
     }
-    std::string issue(std::uint8_t n, const std::string& account, UnixTime start = t0,
-                      UnixTime cutoff = never) {
-        const std::string text = key_text(n);
-        EXPECT_EQ(make(IssueKey{id_of(text), account, hash_key(r.pepper(), text), start, cutoff}),
+    std::string issue(std::uint8_t seed, const std::string& account, UnixTime valid_from = t0,
+                      UnixTime valid_until = never) {
+        const std::string text = key_text(seed);
+        EXPECT_EQ(apply(IssueKey{id_of(text), account, hash_key(registry.pepper(), text),
+                                 valid_from, valid_until}),
                   "");
         return text;
     }
-    std::string rotate(const std::string& old, std::uint8_t n, UnixTime overlap) {
-        const std::string text = key_text(n);
-        EXPECT_EQ(make(RotateKey{id_of(old), id_of(text), hash_key(r.pepper(), text), overlap}),
+    std::string rotate(const std::string& old_key, std::uint8_t seed, UnixTime overlap) {
+        const std::string text = key_text(seed);
+        EXPECT_EQ(apply(RotateKey{id_of(old_key), id_of(text), hash_key(registry.pepper(), text),
+                                  overlap}),
                   "");
         return text;
     }
-    KeyStatus status(const std::string& text, UnixTime now) { return r.look_up(text, now).status; }
+    KeyStatus status(const std::string& text, UnixTime now) {
+        return registry.look_up(text, now).status;
+    }
 };
 TestRegistry make_registry(UnixTime skew = UnixTime(0)) {
-    TestRegistry b(skew);
-    EXPECT_EQ(b.make(AddPlan{"basic"}), "");
-    EXPECT_EQ(b.make(AddPlan{"gold"}), "");
-    EXPECT_EQ(b.make(PutAccount{"birds", "basic"}), "");
-    EXPECT_EQ(b.make(PutAccount{"rival", "gold"}), "");
-    return b;
+    TestRegistry fixture(skew);
+    EXPECT_EQ(fixture.apply(AddPlan{"basic"}), "");
+    EXPECT_EQ(fixture.apply(AddPlan{"gold"}), "");
+    EXPECT_EQ(fixture.apply(PutAccount{"birds", "basic"}), "");
+    EXPECT_EQ(fixture.apply(PutAccount{"rival", "gold"}), "");
+    return fixture;
 }
 }  // namespace
 
 TEST(Key, MistypedUnknownAndMalformedKeysAreDistinguished) {
-    TestRegistry b = make_registry();
-    const std::string text = b.issue(1, "birds");
+    TestRegistry fixture = make_registry();
+    const std::string text = fixture.issue(1, "birds");
     EXPECT_EQ(text.size(), key_length);
-    EXPECT_EQ(b.status(text, t0), KeyStatus::valid);
-    EXPECT_EQ(b.status(key_text(9), t0), KeyStatus::unknown);
+    EXPECT_EQ(fixture.status(text, t0), KeyStatus::valid);
+    EXPECT_EQ(fixture.status(key_text(9), t0), KeyStatus::unknown);
     int mistyped = 0;
     for (std::size_t i = 4; i < text.size(); ++i) {
-        std::string wrong = text;
-        wrong[i] = wrong[i] == '7' ? '8' : '7';
-        if (wrong == text || i == 4 + id_length) continue;
-        EXPECT_NE(b.status(wrong, t0), KeyStatus::valid);
-        mistyped += b.status(wrong, t0) == KeyStatus::checksum_mismatch;
+        std::string altered = text;
+        altered[i] = altered[i] == '7' ? '8' : '7';
+        if (altered == text || i == 4 + id_length) continue;
+        EXPECT_NE(fixture.status(altered, t0), KeyStatus::valid);
+        mistyped += fixture.status(altered, t0) == KeyStatus::checksum_mismatch;
     }
-    EXPECT_GE(mistyped, 45) << "twenty bits of check: one in a million passes";
-    for (const std::string& bad :
+    EXPECT_GE(mistyped, 45)
+        << "the checksum has 20 bits, so about one in a million altered keys passes";
+    for (const std::string& malformed :
          {std::string(), std::string("srk_"), text + "x", text.substr(1), std::string(100'000, 'a'),
           std::string("srk_\xc3\xa9") + text.substr(6), [&] {
-              auto u = text;
-              u[6] = 'U';
-              return u;
+              auto non_alphabet = text;
+              non_alphabet[6] = 'U';
+              return non_alphabet;
           }()})
-        EXPECT_EQ(b.status(bad, t0), KeyStatus::malformed);
+        EXPECT_EQ(fixture.status(malformed, t0), KeyStatus::malformed);
 }
 
 TEST(Registry, BothKeysOfARotationAreValidUntilTheOverlapEnds) {
-    TestRegistry b = make_registry();
-    const std::string first = b.issue(1, "birds");
-    b.at = t0 + hour;
-    const std::string second_key = b.rotate(first, 2, hour);
-    EXPECT_EQ(b.status(first, t0 + hour), KeyStatus::valid);
-    EXPECT_EQ(b.status(second_key, t0 + hour), KeyStatus::valid);
-    b.at = t0 + hour + hour / 2;  // again within the overlap
-    const std::string third = b.rotate(second_key, 3, hour);
-    for (const std::string& key : {first, second_key, third})
-        EXPECT_EQ(b.status(key, b.at), KeyStatus::valid);
-    EXPECT_EQ(b.status(first, t0 + 2 * hour - UnixTime(1)), KeyStatus::valid);
-    EXPECT_EQ(b.status(first, t0 + 2 * hour), KeyStatus::expired);
-    EXPECT_EQ(b.status(second_key, t0 + 2 * hour), KeyStatus::valid);
-    EXPECT_EQ(b.status(second_key, t0 + 3 * hour), KeyStatus::expired);
-    EXPECT_EQ(b.status(third, t0 + 100 * hour), KeyStatus::valid);
-    EXPECT_NE(b.make(RotateKey{id_of(first), "aaaaaaaaaa", {}, hour}), "") << "it has ended";
+    TestRegistry fixture = make_registry();
+    const std::string first_key = fixture.issue(1, "birds");
+    fixture.at = t0 + hour;
+    const std::string second_key = fixture.rotate(first_key, 2, hour);
+    EXPECT_EQ(fixture.status(first_key, t0 + hour), KeyStatus::valid);
+    EXPECT_EQ(fixture.status(second_key, t0 + hour), KeyStatus::valid);
+    fixture.at = t0 + hour + hour / 2;  // within the overlap of the first rotation
+    const std::string third_key = fixture.rotate(second_key, 3, hour);
+    for (const std::string& key : {first_key, second_key, third_key})
+        EXPECT_EQ(fixture.status(key, fixture.at), KeyStatus::valid);
+    EXPECT_EQ(fixture.status(first_key, t0 + 2 * hour - UnixTime(1)), KeyStatus::valid);
+    EXPECT_EQ(fixture.status(first_key, t0 + 2 * hour), KeyStatus::expired);
+    EXPECT_EQ(fixture.status(second_key, t0 + 2 * hour), KeyStatus::valid);
+    EXPECT_EQ(fixture.status(second_key, t0 + 3 * hour), KeyStatus::expired);
+    EXPECT_EQ(fixture.status(third_key, t0 + 100 * hour), KeyStatus::valid);
+    EXPECT_NE(fixture.apply(RotateKey{id_of(first_key), "aaaaaaaaaa", {}, hour}), "")
+        << "the key has expired";
 }
 
 TEST(Registry, ARotationNeverExtendsValidity) {
-    TestRegistry b = make_registry();
-    const std::string text = b.issue(1, "birds", t0, t0 + hour);
-    const std::string next = b.rotate(text, 2, 10 * hour);
-    EXPECT_EQ(b.status(text, t0 + hour), KeyStatus::expired);
-    EXPECT_EQ(b.status(next, t0 + hour), KeyStatus::expired)
-        << "the follower lasts as long as its forerunner was to";
+    TestRegistry fixture = make_registry();
+    const std::string text = fixture.issue(1, "birds", t0, t0 + hour);
+    const std::string successor = fixture.rotate(text, 2, 10 * hour);
+    EXPECT_EQ(fixture.status(text, t0 + hour), KeyStatus::expired);
+    EXPECT_EQ(fixture.status(successor, t0 + hour), KeyStatus::expired)
+        << "the successor expires when the old key was to expire";
 }
 
 TEST(Registry, ARevokedKeyStaysInvalidWhateverTheClockDoes) {
-    TestRegistry b = make_registry(5 * second);
-    const std::string text = b.issue(1, "birds");
-    EXPECT_EQ(b.make(RevokeKey{id_of(text), t0 + 60 * second, RevocationCause::leaked}), "");
-    EXPECT_EQ(b.status(text, t0), KeyStatus::valid);
-    EXPECT_EQ(b.status(text, t0 + 55 * second), KeyStatus::expired) << "a clock that is 5 s behind";
-    EXPECT_EQ(b.status(text, t0), KeyStatus::expired) << "a step back is not followed";
-    EXPECT_NE(b.make(RevokeKey{id_of(text), t0 + 600 * second, RevocationCause::requested}), "")
-        << "an end is not put off";
-    EXPECT_EQ(b.r.keys().at(id_of(text)).cause, RevocationCause::leaked);
+    TestRegistry fixture = make_registry(5 * second);
+    const std::string text = fixture.issue(1, "birds");
+    EXPECT_EQ(fixture.apply(RevokeKey{id_of(text), t0 + 60 * second, RevocationCause::leaked}), "");
+    EXPECT_EQ(fixture.status(text, t0), KeyStatus::valid);
+    EXPECT_EQ(fixture.status(text, t0 + 55 * second), KeyStatus::expired)
+        << "the clock may be 5 s behind";
+    EXPECT_EQ(fixture.status(text, t0), KeyStatus::expired)
+        << "a clock that steps back makes no expired key valid";
+    EXPECT_NE(fixture.apply(RevokeKey{id_of(text), t0 + 600 * second, RevocationCause::requested}),
+              "")
+        << "a revocation does not extend validity";
+    EXPECT_EQ(fixture.registry.keys().at(id_of(text)).cause, RevocationCause::leaked);
 }
 
 TEST(Registry, KeysOfMergedAccountsCountForOneAccount) {
-    TestRegistry b = make_registry();
-    const std::string a = b.issue(1, "birds"), c = b.issue(2, "birds"), d = b.issue(3, "rival");
-    EXPECT_EQ(b.r.look_up(a, t0).account, b.r.look_up(c, t0).account);
-    EXPECT_EQ(b.make(MergeAccounts{"rival", "birds"}), "");
-    EXPECT_EQ(b.r.look_up(d, t0).account, "birds");
-    EXPECT_EQ(b.r.look_up(d, t0).plan, "basic");
-    EXPECT_NE(b.make(MergeAccounts{"birds", "rival"}), "") << "no circle";
-    EXPECT_NE(b.make(MergeAccounts{"birds", "birds"}), "");
-    EXPECT_NE(b.make(PutAccount{"rival", "gold"}), "");
+    TestRegistry fixture = make_registry();
+    const std::string key = fixture.issue(1, "birds"), second_key = fixture.issue(2, "birds"),
+                      merged_key = fixture.issue(3, "rival");
+    EXPECT_EQ(fixture.registry.look_up(key, t0).account,
+              fixture.registry.look_up(second_key, t0).account);
+    EXPECT_EQ(fixture.apply(MergeAccounts{"rival", "birds"}), "");
+    EXPECT_EQ(fixture.registry.look_up(merged_key, t0).account, "birds");
+    EXPECT_EQ(fixture.registry.look_up(merged_key, t0).plan, "basic");
+    EXPECT_NE(fixture.apply(MergeAccounts{"birds", "rival"}), "") << "merges form no cycle";
+    EXPECT_NE(fixture.apply(MergeAccounts{"birds", "birds"}), "");
+    EXPECT_NE(fixture.apply(PutAccount{"rival", "gold"}), "");
 }
 
 TEST(Registry, RemovingAPlanInUseMovesItsAccounts) {
-    TestRegistry b = make_registry();
-    const std::string text = b.issue(1, "birds");
-    EXPECT_NE(b.make(RemovePlan{"basic", ""}), "");
-    EXPECT_NE(b.make(RemovePlan{"basic", "basic"}), "");
-    EXPECT_EQ(b.make(RemovePlan{"basic", "gold"}), "");
-    EXPECT_EQ(b.r.look_up(text, t0).plan, "gold");
+    TestRegistry fixture = make_registry();
+    const std::string text = fixture.issue(1, "birds");
+    EXPECT_NE(fixture.apply(RemovePlan{"basic", ""}), "");
+    EXPECT_NE(fixture.apply(RemovePlan{"basic", "basic"}), "");
+    EXPECT_EQ(fixture.apply(RemovePlan{"basic", "gold"}), "");
+    EXPECT_EQ(fixture.registry.look_up(text, t0).plan, "gold");
 }
 
 TEST(Registry, InvalidChangesAreRejectedWithoutEffect) {
-    TestRegistry b = make_registry();
-    const auto version = b.r.version();
+    TestRegistry fixture = make_registry();
+    const auto version = fixture.registry.version();
     for (const std::uint64_t wrong : {version, version + 2}) {
-        const auto error = b.r.apply({wrong, t0, AddPlan{"x"}});
+        const auto error = fixture.registry.apply({wrong, t0, AddPlan{"x"}});
         ASSERT_TRUE(error);
         EXPECT_EQ(error->code, ChangeErrorCode::version_mismatch);
         EXPECT_NE(error->message, "");
     }
-    EXPECT_NE(b.make(AddPlan{"a b"}), "");
-    EXPECT_NE(b.make(AddPlan{std::string(300, 'x')}), "");
-    EXPECT_EQ(b.r.version(), version);
-    EXPECT_EQ(b.r.plans().size(), 2u);
+    EXPECT_NE(fixture.apply(AddPlan{"a b"}), "");
+    EXPECT_NE(fixture.apply(AddPlan{std::string(300, 'x')}), "");
+    EXPECT_EQ(fixture.registry.version(), version);
+    EXPECT_EQ(fixture.registry.plans().size(), 2u);
 }
 
-// The registry against a model so simple that it can be read off: every key with its own two
-// moments.
+// Compares the registry with a model that holds only the two ends of each key's validity.
 TEST(Registry, AgreesWithASimpleModel) {
-    struct Moments {
+    struct ModelKey {
         std::string text;
-        UnixTime start, end;
-        bool rotated = false;
+        UnixTime valid_from, valid_until;
+        bool is_rotated = false;
     };
-    const bool good = rc::check("what is served", [] {
-        TestRegistry b = make_registry();
-        std::vector<Moments> model;
-        std::uint8_t next = 1;
+    const bool holds = rc::check("the registry and the model serve the same keys", [] {
+        TestRegistry fixture = make_registry();
+        std::vector<ModelKey> model;
+        std::uint8_t next_seed = 1;
         for (int step = 0; step < 30; ++step) {
-            b.at += UnixTime(*rc::gen::inRange<std::int64_t>(0, 5000));
-            const int what = *rc::gen::inRange(0, 4);
-            const auto pick = [&]() -> Moments* {
+            fixture.at += UnixTime(*rc::gen::inRange<std::int64_t>(0, 5000));
+            const int action = *rc::gen::inRange(0, 4);
+            const auto pick_key = [&]() -> ModelKey* {
                 return model.empty() ? nullptr
                                      : &model[*rc::gen::inRange<std::size_t>(0, model.size())];
             };
-            const UnixTime span(*rc::gen::inRange<std::int64_t>(1, 8000));
-            if (what == 0 || model.empty()) {
-                const std::string text = b.issue(next++, "birds", b.at, b.at + span);
-                model.push_back({text, b.at, b.at + span});
-            } else if (what == 1) {
-                Moments* m = pick();
-                const std::string text = key_text(next++);
-                const bool may = m->end > b.at && !m->rotated;
-                const std::string why = b.make(
-                    RotateKey{id_of(m->text), id_of(text), hash_key(b.r.pepper(), text), span});
-                RC_ASSERT(why.empty() == may);
-                if (!may) continue;
-                const UnixTime end = m->end;
-                m->end = std::min(m->end, b.at + span), m->rotated = true;
-                model.push_back({text, b.at, end});
-            } else if (what == 2) {
-                Moments* m = pick();
-                const UnixTime end = b.at + span;
-                const bool may = m->end > end;
+            const UnixTime duration(*rc::gen::inRange<std::int64_t>(1, 8000));
+            if (action == 0 || model.empty()) {
+                const std::string text =
+                    fixture.issue(next_seed++, "birds", fixture.at, fixture.at + duration);
+                model.push_back({text, fixture.at, fixture.at + duration});
+            } else if (action == 1) {
+                ModelKey* key = pick_key();
+                const std::string text = key_text(next_seed++);
+                const bool is_allowed = key->valid_until > fixture.at && !key->is_rotated;
+                const std::string error =
+                    fixture.apply(RotateKey{id_of(key->text), id_of(text),
+                                            hash_key(fixture.registry.pepper(), text), duration});
+                RC_ASSERT(error.empty() == is_allowed);
+                if (!is_allowed) continue;
+                const UnixTime valid_until = key->valid_until;
+                key->valid_until = std::min(key->valid_until, fixture.at + duration),
+                key->is_rotated = true;
+                model.push_back({text, fixture.at, valid_until});
+            } else if (action == 2) {
+                ModelKey* key = pick_key();
+                const UnixTime valid_until = fixture.at + duration;
+                const bool is_allowed = key->valid_until > valid_until;
                 RC_ASSERT(
-                    b.make(RevokeKey{id_of(m->text), end, RevocationCause::requested}).empty() ==
-                    may);
-                if (may) m->end = end;
+                    fixture
+                        .apply(RevokeKey{id_of(key->text), valid_until, RevocationCause::requested})
+                        .empty() == is_allowed);
+                if (is_allowed) key->valid_until = valid_until;
             } else {
-                for (const Moments& m : model)
-                    RC_ASSERT((b.status(m.text, b.at) == KeyStatus::valid) ==
-                              (m.start <= b.at && b.at < m.end));
+                for (const ModelKey& key : model)
+                    RC_ASSERT((fixture.status(key.text, fixture.at) == KeyStatus::valid) ==
+                              (key.valid_from <= fixture.at && fixture.at < key.valid_until));
             }
         }
     });
-    EXPECT_TRUE(good);
+    EXPECT_TRUE(holds);
 }
 
 TEST(ChangeCodec, ChangesRoundTripAndInvalidBytesAreRejected) {
@@ -230,11 +244,11 @@
         RevokeKey{"0123456789", t0, RevocationCause::leaked}};
     for (const Operation& operation : operations) {
         const std::string bytes = encode_change({7, t0, operation});
-        const auto back = decode_change(bytes);
-        ASSERT_TRUE(back);
-        EXPECT_EQ(encode_change(*back), bytes);
-        for (std::size_t cut = 0; cut < bytes.size(); ++cut)
-            EXPECT_FALSE(decode_change(bytes.substr(0, cut)));
+        const auto decoded = decode_change(bytes);
+        ASSERT_TRUE(decoded);
+        EXPECT_EQ(encode_change(*decoded), bytes);
+        for (std::size_t size = 0; size < bytes.size(); ++size)
+            EXPECT_FALSE(decode_change(bytes.substr(0, size)));
         EXPECT_FALSE(decode_change(bytes + "x"));
     }
 }
@@ -248,40 +262,44 @@
         ends.push_back(log.size());
     }
     for (std::size_t acknowledged = 0; acknowledged <= 4; ++acknowledged) {
-        const std::size_t upto = acknowledged ? ends[acknowledged - 1] : 0;
-        const std::string mark = encode_marker_slot({acknowledged, upto});
-        for (std::size_t cut = 0; cut <= log.size(); ++cut) {
-            const RecoveredLog r = recover_log(log.substr(0, cut), mark);
-            if (cut < upto)
-                EXPECT_TRUE(r.error) << cut;
+        const std::size_t committed_bytes = acknowledged ? ends[acknowledged - 1] : 0;
+        const std::string marker = encode_marker_slot({acknowledged, committed_bytes});
+        for (std::size_t size = 0; size <= log.size(); ++size) {
+            const RecoveredLog recovered = recover_log(log.substr(0, size), marker);
+            if (size < committed_bytes)
+                EXPECT_TRUE(recovered.error) << size;
             else
-                EXPECT_GE(r.changes.size(), acknowledged) << cut;
-            EXPECT_LE(r.valid_bytes, cut);
+                EXPECT_GE(recovered.changes.size(), acknowledged) << size;
+            EXPECT_LE(recovered.valid_bytes, size);
         }
-        for (std::size_t at = 0; at < log.size(); ++at) {
-            std::string bad = log;
-            bad[at] = static_cast<char>(bad[at] ^ 0x20);
-            const RecoveredLog r = recover_log(bad, mark);
-            if (at < upto || at < log_magic.size())
-                EXPECT_TRUE(r.error) << at;
+        for (std::size_t offset = 0; offset < log.size(); ++offset) {
+            std::string damaged = log;
+            damaged[offset] = static_cast<char>(damaged[offset] ^ 0x20);
+            const RecoveredLog recovered = recover_log(damaged, marker);
+            if (offset < committed_bytes || offset < log_magic.size())
+                EXPECT_TRUE(recovered.error) << offset;
             else
-                EXPECT_GE(r.changes.size(), acknowledged);
+                EXPECT_GE(recovered.changes.size(), acknowledged);
         }
     }
 }
 
 namespace {
-// Stops the writer at one of its calls, before it, half way through, or after it, as a kill would.
+// Stops the writer at call `kill_at`, as a kill of the process would: before the write, halfway
+// through it or after it, or before a sync. Call `full_at`, if it is a write, fails halfway as on a
+// full disk.
 struct Killed {};
 struct FaultyDisk : Disk {
-    int calls = 0, kill_at = -1, part = 0;  // part: 0 nothing of the write is done, 1 half, 2 all
+    int calls = 0, kill_at = -1, written_halves = 0;  // of the stopped write: 0, 1 or 2
     int full_at = -1;
-    bool write(int fd, std::uint64_t at, std::string_view bytes) override {
+    bool write(int fd, std::uint64_t offset, std::string_view bytes) override {
         const int call = calls++;
         if (call == full_at)
-            return Disk::write(fd, at, bytes.substr(0, bytes.size() / 2)), errno = ENOSPC, false;
-        if (call != kill_at) return Disk::write(fd, at, bytes);
-        Disk::write(fd, at, bytes.substr(0, bytes.size() * static_cast<std::size_t>(part) / 2));
+            return Disk::write(fd, offset, bytes.substr(0, bytes.size() / 2)), errno = ENOSPC,
+                                                                               false;
+        if (call != kill_at) return Disk::write(fd, offset, bytes);
+        Disk::write(fd, offset,
+                    bytes.substr(0, bytes.size() * static_cast<std::size_t>(written_halves) / 2));
         throw Killed();
     }
     bool sync(int fd) override {
@@ -289,79 +307,82 @@
         return Disk::sync(fd);
     }
 };
-// Fails every call of a span, writes after their first half, and is killed at one.
+// Fails the calls from `fail_from` to before `fail_to`, writes after their first half, and stops
+// the writer at call `kill_at`.
 struct FailingDisk : Disk {
     int calls = 0, fail_from = -1, fail_to = -1, kill_at = -1;
     int error = EIO;
-    bool write(int fd, std::uint64_t at, std::string_view bytes) override {
-        if (!fails()) return Disk::write(fd, at, bytes);
-        Disk::write(fd, at, bytes.substr(0, bytes.size() / 2));
+    bool write(int fd, std::uint64_t offset, std::string_view bytes) override {
+        if (!next_call_fails()) return Disk::write(fd, offset, bytes);
+        Disk::write(fd, offset, bytes.substr(0, bytes.size() / 2));
         return errno = error, false;
     }
-    bool sync(int fd) override { return fails() ? (errno = error, false) : Disk::sync(fd); }
+    bool sync(int fd) override {
+        return next_call_fails() ? (errno = error, false) : Disk::sync(fd);
+    }
     bool truncate(int fd, std::uint64_t size) override {
-        return fails() ? (errno = error, false) : Disk::truncate(fd, size);
+        return next_call_fails() ? (errno = error, false) : Disk::truncate(fd, size);
     }
-    bool fails() {
+    bool next_call_fails() {
         const int call = calls++;
         if (call == kill_at) throw Killed();
         return call >= fail_from && call < fail_to;
     }
 };
-struct Folder {
+struct TemporaryFolder {
     std::string name = "/tmp/silverreach-registry-XXXXXX";
-    Folder() { mkdtemp(name.data()); }
-    ~Folder() { std::system(("rm -rf '" + name + "'").c_str()); }
+    TemporaryFolder() { mkdtemp(name.data()); }
+    ~TemporaryFolder() { std::system(("rm -rf '" + name + "'").c_str()); }
 };
 }  // namespace
 
 TEST(Store, AKillAtEachWriteLosesNoAcknowledgedChange) {
-    int points = 0;
+    int kills = 0;
     for (int kill_at = 0; kill_at < 200; ++kill_at)
-        for (int part = 0; part < 3; ++part) {
-            Folder f;
+        for (int written_halves = 0; written_halves < 3; ++written_halves) {
+            TemporaryFolder folder;
             std::vector<std::string> acknowledged;
-            std::string tried;
+            std::string current_plan;
             bool killed = false;
             {
                 FaultyDisk disk;
-                disk.kill_at = kill_at, disk.part = part;
+                disk.kill_at = kill_at, disk.written_halves = written_halves;
                 try {
-                    Store store(f.name, Store::Mode::write, true, disk);
+                    Store store(folder.name, Store::Mode::write, true, disk);
                     for (int i = 0; i < 4; ++i) {
-                        tried = "plan" + std::to_string(i);
-                        ASSERT_FALSE(store.commit(AddPlan{tried}, t0));
-                        acknowledged.push_back(tried);
+                        current_plan = "plan" + std::to_string(i);
+                        ASSERT_FALSE(store.commit(AddPlan{current_plan}, t0));
+                        acknowledged.push_back(current_plan);
                     }
                 } catch (const Killed&) {
                     killed = true;
                 }
             }
-            points += killed;
+            kills += killed;
             Disk disk;
-            Store again(f.name, Store::Mode::write, true, disk);
+            Store reopened(folder.name, Store::Mode::write, true, disk);
             for (const std::string& plan : acknowledged)
-                EXPECT_TRUE(again.registry().plans().count(plan)) << kill_at << " " << plan;
-            EXPECT_LE(again.registry().plans().size(), acknowledged.size() + 1)
-                << "at most what was under way";
-            EXPECT_FALSE(again.commit(AddPlan{"after"}, t0));
+                EXPECT_TRUE(reopened.registry().plans().count(plan)) << kill_at << " " << plan;
+            EXPECT_LE(reopened.registry().plans().size(), acknowledged.size() + 1)
+                << "at most the change in progress is added";
+            EXPECT_FALSE(reopened.commit(AddPlan{"after"}, t0));
             if (!killed) {
-                EXPECT_GE(points, 3 * 16)
-                    << "the writes and syncs of four changes, and of the beginning";
+                EXPECT_GE(kills, 3 * 16)
+                    << "the writes and syncs of four changes and of the creation";
                 return;
             }
         }
-    FAIL() << "never ran to its end";
+    FAIL() << "every run was killed";
 }
 
-TEST(Store, AFullDiskCommitsNoChangeAndLosesNone) {
+TEST(Store, AFullDiskLosesNoAcknowledgedChange) {
     for (int full_at = 6; full_at < 22; ++full_at) {
-        Folder f;
+        TemporaryFolder folder;
         std::vector<std::string> acknowledged;
         {
             FaultyDisk disk;
             disk.full_at = full_at;
-            Store store(f.name, Store::Mode::write, true, disk);
+            Store store(folder.name, Store::Mode::write, true, disk);
             for (int i = 0; i < 4; ++i) {
                 const std::string plan = "plan" + std::to_string(i);
                 if (!store.commit(AddPlan{plan}, t0)) acknowledged.push_back(plan);
@@ -369,39 +390,40 @@
             EXPECT_LT(acknowledged.size(), 5u);
         }
         Disk disk;
-        Store again(f.name, Store::Mode::write, false, disk);
+        Store reopened(folder.name, Store::Mode::write, false, disk);
         for (const std::string& plan : acknowledged)
-            EXPECT_TRUE(again.registry().plans().count(plan));
+            EXPECT_TRUE(reopened.registry().plans().count(plan));
     }
 }
 
 TEST(Store, ASecondWriterIsRejectedAndReadersAreNot) {
-    Folder f;
+    TemporaryFolder folder;
     Disk disk;
-    Store first(f.name, Store::Mode::write, true, disk);
-    EXPECT_FALSE(first.commit(AddPlan{"basic"}, t0));
+    Store writer(folder.name, Store::Mode::write, true, disk);
+    EXPECT_FALSE(writer.commit(AddPlan{"basic"}, t0));
     try {
-        Store second(f.name, Store::Mode::write, true, disk);
+        Store second_writer(folder.name, Store::Mode::write, true, disk);
         FAIL();
     } catch (const StoreError& error) {
         EXPECT_EQ(error.code(), StoreErrorCode::locked);
         EXPECT_NE(std::string(error.what()).find("another writer"), std::string::npos);
     }
-    Store reader(f.name, Store::Mode::read, false, disk);
+    Store reader(folder.name, Store::Mode::read, false, disk);
     EXPECT_EQ(reader.registry().plans().size(), 1u);
 }
 
 TEST(Store, DiskFailuresFollowedByAKillLoseNoAcknowledgedChange) {
-    constexpr int first_call = 6, last_call = 30;  // after the making of the folder
+    constexpr int first_call = 6, last_call = 30;  // after the creation of the registry
     for (int fail_from = first_call; fail_from < last_call; ++fail_from)
-        for (int span = 1; span <= 4; ++span)
+        for (int fail_count = 1; fail_count <= 4; ++fail_count)
             for (int kill_at = fail_from + 1; kill_at < fail_from + 8; ++kill_at) {
-                Folder f;
+                TemporaryFolder folder;
                 std::vector<std::string> acknowledged, not_made;
                 FailingDisk disk;
-                disk.fail_from = fail_from, disk.fail_to = fail_from + span, disk.kill_at = kill_at;
+                disk.fail_from = fail_from, disk.fail_to = fail_from + fail_count,
+                disk.kill_at = kill_at;
                 try {
-                    Store store(f.name, Store::Mode::write, true, disk);
+                    Store store(folder.name, Store::Mode::write, true, disk);
                     for (int i = 0; i < 4; ++i) {
                         const std::string plan = "plan" + std::to_string(i);
                         const auto error = store.commit(AddPlan{plan}, t0);
@@ -414,14 +436,16 @@
                     }
                 } catch (const Killed&) {
                 }
-                Disk well;
-                Store again(f.name, Store::Mode::write, true, well);
-                const std::string where = std::to_string(fail_from) + "+" + std::to_string(span) +
-                                          ", killed at " + std::to_string(kill_at);
+                Disk healthy_disk;
+                Store reopened(folder.name, Store::Mode::write, true, healthy_disk);
+                const std::string fault = std::to_string(fail_from) + "+" +
+                                          std::to_string(fail_count) + ", killed at " +
+                                          std::to_string(kill_at);
                 for (const std::string& plan : acknowledged)
-                    EXPECT_TRUE(again.registry().plans().count(plan)) << where << ": lost " << plan;
+                    EXPECT_TRUE(reopened.registry().plans().count(plan))
+                        << fault << ": lost " << plan;
                 for (const std::string& plan : not_made)
-                    EXPECT_FALSE(again.registry().plans().count(plan))
-                        << where << ": made " << plan;
+                    EXPECT_FALSE(reopened.registry().plans().count(plan))
+                        << fault << ": made " << plan;
             }
 }
