--- a/src/frontend/common/client_connection.cpp
+++ b/src/frontend/common/client_connection.cpp
@@ -13,8 +13,8 @@
       stream_(loop_, std::move(fd), *this, waiting_since),
       wait_started_(loop_.now()) {}
 
-// UBSan reads an object's vptr through a pipe. Connections are destroyed exactly where descriptors
-// are short, the pipe fails there, and a valid vptr is reported as invalid.
+// UBSan reads an object's vptr through a pipe. Connections are destroyed when the process is short
+// of descriptors; no pipe can be created then, and UBSan reports a valid vptr as invalid.
 [[gnu::no_sanitize("vptr")]] ClientConnection::~ClientConnection() = default;
 
 void ClientConnection::check_timeouts() {
--- a/src/frontend/common/connection_manager.cpp
+++ b/src/frontend/common/connection_manager.cpp
@@ -26,7 +26,8 @@
     return true;
 }
 
-// One that has sent no complete message before an idle one, the longest waiting first.
+// Prefers a connection without a complete message to an idle one, and among equals the one that has
+// waited longest.
 ClientConnection* ConnectionManager::eviction_candidate() const {
     using Priority = ClientConnection::EvictionPriority;
     ClientConnection* best = nullptr;
@@ -85,7 +86,7 @@
     drain_.start(deadline);
 }
 
-// A check may remove its connection and, by a close that frees others, more than one.
+// A check may remove its connection, and further connections whose end that close causes.
 void ConnectionManager::check_timeouts() {
     for (std::size_t i = connections_.size(); i-- > 0;)
         if (i < connections_.size()) connections_[i]->check_timeouts();
--- a/src/frontend/common/connection_manager.h
+++ b/src/frontend/common/connection_manager.h
@@ -1,4 +1,5 @@
-// The connections of clients below their protocol: accepting, limits, eviction and draining.
+// Manages client connections independently of their protocol: accepting, limits, eviction and
+// draining.
 #pragma once
 
 #include <algorithm>
@@ -18,17 +19,19 @@
 
 namespace silverreach::frontend {
 
-// Where the protocols differ.
+// The settings in which the protocols differ.
 struct ConnectionPolicy {
     std::size_t max_connections = 100;
-    // Lingering connections, beside max_connections; beyond it the one that has lingered longest is
-    // closed. Unset: they count among max_connections, and only their own time ends them.
+    // Limit of lingering connections, which do not count towards max_connections; above it the one
+    // that has lingered longest is closed. Unset: lingering connections count towards
+    // max_connections, and only their timeout closes them.
     std::optional<std::size_t> max_lingering;
-    // At max_connections an idle connection makes place for a new one; else the new one is closed.
-    // Off for HTTP, whose limit is the operator's and whose clients may idle as long as he set.
+    // Whether at max_connections a connection without work is evicted for a new one; otherwise the
+    // new one is closed. Off for HTTP, where the operator sets max_connections and how long clients
+    // may be idle.
     bool evict_idle = false;
-    // Between two checks of all connections' waits. 0: each connection schedules its own checks, as
-    // tens of thousands of idle ones are not to be walked through.
+    // Period of the timeout checks over all connections. 0: each connection schedules its own
+    // checks, which avoids iterating over tens of thousands of idle ones.
     Micros sweep_period{0};
 };
 
@@ -37,13 +40,13 @@
   public:
     struct Stats {
         std::uint64_t accepted = 0;
-        std::uint64_t rejected = 0;  // at the limit, with nothing to evict
+        std::uint64_t rejected = 0;  // at the limit, without a connection to evict
         std::uint64_t evicted = 0;   // for a new connection
     };
-    // Makes a connection of the protocol for an accepted socket. `client`: the peer's address.
+    // Creates a connection of the protocol for an accepted socket. `client`: the peer's address.
     using Factory = std::function<std::unique_ptr<ClientConnection>(
         event::Fd fd, std::string client, Micros waiting_since)>;
-    // Listens at once. Throws event::SystemError where the address cannot be listened on.
+    // Starts to listen. Throws event::SystemError if it cannot listen on the address.
     ConnectionManager(event::Loop& loop, const config::Endpoint& listen,
                       const ConnectionPolicy& policy, Factory factory);
     ConnectionManager(const ConnectionManager&) = delete;
@@ -61,21 +64,23 @@
                                    [&](const auto& connection) { return predicate(*connection); });
     }
 
-    // Accepts what the system has accepted already, then no more. `deadline`: of DrainManager.
+    // Accepts the connections that the system has already accepted, then stops listening.
+    // `deadline`: see DrainManager.
     void start_draining(Micros deadline);
-    // Called while descriptors are short; see Listener::on_shortage.
+    // Sets the function that is called while descriptors are short; see Listener::on_shortage.
     void on_shortage(std::function<bool()> close_idle) {
         listener_->on_shortage(std::move(close_idle));
     }
-    // Evicts a connection at rest to free its descriptor; false where there is none. True without
-    // another eviction while one is lingering, as that is about to close.
+    // Evicts a connection without work to free its descriptor; returns false if there is none.
+    // Returns true without an eviction while a connection is lingering, because that one is about
+    // to close.
     bool close_idle();
     void check_timeouts();  // of every connection
 
     // ---- for connections only ----
     void on_lingering(ClientConnection& connection);
-    // Takes the connection out of the list; it is destroyed at the loop's next turn, as it may be
-    // in the middle of a call of its own.
+    // Removes the connection from the list and destroys it in the loop's next turn, because one of
+    // its functions may still be running.
     void remove(ClientConnection& connection);
 
   private:
@@ -90,7 +95,7 @@
     DrainManager drain_;
     Stats stats_;
     std::vector<std::unique_ptr<ClientConnection>> connections_;
-    std::size_t lingering_ = 0;  // of connections_
+    std::size_t lingering_ = 0;  // number of lingering connections_
     event::DeferredDeletion<ClientConnection> deferred_deletion_;
     std::unique_ptr<event::Listener> listener_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/frontend/common/drain_manager.h
+++ b/src/frontend/common/drain_manager.h
@@ -1,4 +1,4 @@
-// Whether a front end is draining, and until when.
+// The drain state of a front end.
 #pragma once
 
 #include "event/loop.h"
@@ -10,14 +10,14 @@
 // States: serving -> draining. Used on the loop's thread; times are on the loop's clock.
 class DrainManager {
   public:
-    // From now on a connection ends with the responses that it is owed. What is received until
-    // `deadline` is still answered.
+    // From now on, a connection closes once its pending responses are sent. Requests that are
+    // received before `deadline` are still answered.
     void start(Micros deadline) {
         draining_ = true;
         deadline_ = deadline;
     }
     bool draining() const { return draining_; }
-    // Until the deadline, below zero after it; Micros::max() while serving.
+    // Returns the time until the deadline, negative after it; Micros::max() while serving.
     Micros time_remaining(Micros now) const { return draining_ ? deadline_ - now : Micros::max(); }
 
   private:
--- a/src/frontend/http/client_request.h
+++ b/src/frontend/http/client_request.h
@@ -1,4 +1,4 @@
-// One request of a client, from its head to the end of its response. No I/O.
+// A client request, from its head to the end of its response. No I/O.
 #pragma once
 
 #include <memory>
@@ -22,35 +22,35 @@
     RequestIdentity identity;
     std::string body;
     bool body_complete = false;
-    Micros received_at{0};  // its first byte, on the loop's clock
-    RequestId id = 0;       // of the core; 0: not handed over yet
+    Micros received_at{0};  // arrival of its first byte, on the loop's clock
+    RequestId id = 0;       // in the core; 0: not passed to the core yet
     std::shared_ptr<const upstream_http::OutRequest> upstream;
     ClientCapabilities client;
     ResponseWriter response;
-    int response_status = 0;  // of the host; 0: none yet
+    int response_status = 0;  // of the host; 0: none received yet
 };
 
-// Why a request is answered without the core.
+// Why the front end answers a request without passing it to the core.
 struct Refusal {
     RequestError error;
     std::string_view log_reason;
 };
 
-// Takes `head`.
+// Creates the state of a request; moves from `head`.
 std::unique_ptr<ClientRequest> make_client_request(wire::Head& head, Micros received_at,
                                                    FrontendContext& context);
-// Resolves the request; returns why it is refused, if it is.
+// Resolves the request. Returns the reason if the request is rejected.
 std::optional<Refusal> check_request(ClientRequest& request, const FrontendContext& context);
-// Whether the client waits for a 100 before it sends the body.
+// Whether the client waits for a 100 (Continue) response before it sends the body.
 bool expects_continue(const wire::Head& head);
 
 std::size_t max_body_bytes(const FrontendContext& context);
 RequestError body_too_large(const FrontendContext& context);
 
-// As it goes to hosts; takes the body. `client_address`: without a port.
+// Returns the request for hosts and moves the body into it. `client_address`: without a port.
 std::shared_ptr<const upstream_http::OutRequest> make_upstream_request(
     ClientRequest& request, const std::string& client_address, const std::string& via);
-// As it goes to the core.
+// Returns the request for the core.
 core::ClientRequest make_core_request(const ClientRequest& request,
                                       const std::string& client_address,
                                       const FrontendContext& context, Micros now);
--- a/src/frontend/http/frontend_context.h
+++ b/src/frontend/http/frontend_context.h
@@ -1,4 +1,4 @@
-// What the connections of one HTTP front end share.
+// The state that the connections of one HTTP front end share.
 #pragma once
 
 #include <ctime>
@@ -15,15 +15,15 @@
 
 namespace silverreach::frontend::http {
 
-// One request for the access log.
+// The entry of one request in the access log.
 struct AccessLogEntry {
     std::string request_id;
     std::string method;
-    std::string path;  // without the query, which may carry a key
+    std::string path;  // without the query, which may contain a key
     std::string account;
     std::string key_id;
     std::string request_class;
-    std::string reason;  // "served", "left", "broken", "cut", or why it was not forwarded
+    std::string reason;  // "served", "left", "broken", "cut", or why the request was not forwarded
     std::string client;  // address
     double units = 0;
     int status = 0;  // 0: none was sent
@@ -31,7 +31,7 @@
 };
 
 struct FrontendCallbacks {
-    // The description in force.
+    // Returns the current API description.
     std::function<std::shared_ptr<const openapi::Description>()> description;
     std::function<void(const AccessLogEntry&)> log_access;
     // Whether this instance is one of those that serve the account.
@@ -40,7 +40,7 @@
 
 class HttpConnection;
 
-// Text of the Date field, made once a second.
+// The text of the Date field, formatted once a second.
 class DateCache {
   public:
     const std::string& now();
@@ -55,10 +55,10 @@
     const config::Config& config;
     core::RequestCoordinator& core;
     FrontendCallbacks callbacks;
-    int anonymous_plan;  // index into Settings::plans; below 0: none
+    int anonymous_plan;  // index into Settings::plans; negative: none
     std::string via;     // this instance's name in the Via field
     RequestResolver resolver;
-    event::SystemRandom random = {};  // of request and trace ids
+    event::SystemRandom random = {};  // for request and trace ids
     DateCache date = {};
     std::unordered_map<RequestId, HttpConnection*> in_flight = {};
 };
--- a/src/frontend/http/http_connection.cpp
+++ b/src/frontend/http/http_connection.cpp
@@ -9,7 +9,7 @@
 namespace {
 using namespace std::chrono_literals;
 using std::chrono::milliseconds;
-constexpr std::size_t max_pending_bytes = std::size_t{64} * 1024;  // then reading stops
+constexpr std::size_t max_pending_bytes = std::size_t{64} * 1024;  // above this, reading stops
 constexpr std::size_t max_header_fields = 100;
 constexpr Micros linger_timeout = 1s;
 constexpr Micros min_check_period = 250ms;
@@ -42,12 +42,13 @@
         return;
     }
     const std::size_t consumed = feed_parser(bytes);
-    // What one request leaves over belongs to the next.
+    // Bytes after the end of this request belong to the next one.
     if (accepts_input() && consumed < bytes.size()) pending_.append(bytes.substr(consumed));
     forward_if_complete();
 }
 
-// A request's time runs from the arrival of its first byte, also where it waited for its turn.
+// A request's time starts with the arrival of its first byte, even if the request was buffered
+// behind an earlier one.
 std::size_t HttpConnection::feed_parser(std::string_view bytes) {
     if (parser_.idle()) start_wait(arrivals().time_of(1, loop().now()));
     const std::size_t consumed = parser_.feed(bytes);
@@ -127,7 +128,7 @@
 
 void HttpConnection::reply_locally(const LocalReply& reply, std::string_view log_reason) {
     ClientRequest& request = *request_;
-    // The rest of a body that was not read would be taken for the next request.
+    // The rest of a body that was not read completely would be parsed as the next request.
     if (!request.body_complete || is_last_response()) request.client.keep_alive = false;
     request.client.date = context_.date.now();
     stream().write(serialize(reply, request.client, request.identity.request_id));
@@ -181,7 +182,7 @@
     close();
 }
 
-// While draining a response is the last one where no further request has been received.
+// While draining, a response is the last one if no further request has been received.
 bool HttpConnection::is_last_response() const {
     return manager().drain().draining() && pending_.empty() && !stream().unread();
 }
@@ -196,8 +197,8 @@
     state_ = State::reading_head;
     parser_.next();
     if (pending_.empty() && !half_closed_) return;
-    // Not from within the call that brought the response: a client could otherwise nest requests
-    // without end.
+    // Deferred because processing the next request within the call that delivered the response
+    // would let a client nest calls without limit.
     call_later(0us, [this] {
         if (reading()) process_pending();
     });
@@ -210,7 +211,7 @@
     if (half_closed_ && stream().queued() == 0) close();
 }
 
-// ---- the client's end -----------------------------------------------------------------------
+// ---- disconnection --------------------------------------------------------------------------
 
 void HttpConnection::on_end() {
     half_closed_ = true;
@@ -225,7 +226,8 @@
 }
 
 void HttpConnection::check_client_connected() {
-    // Where clients may end their half and wait on, an end says nothing.
+    // If clients may close their side and still wait for the response, a closed side does not mean
+    // that the client has disconnected.
     const bool may_wait_on = context_.config.listen().half_closed() == config::Listen::ANSWER;
     if (may_wait_on || state_ == State::closed || !peer_closed()) return;
     disconnect();
@@ -263,7 +265,7 @@
            stream().unread();
 }
 
-// ---- time-outs ------------------------------------------------------------------------------
+// ---- timeouts -------------------------------------------------------------------------------
 
 bool HttpConnection::receiving() const {
     return state_ == State::reading_body || (state_ == State::reading_head && !parser_.idle());
@@ -286,8 +288,8 @@
         case Wait::response_read:
             if (state_ != State::streaming_response || stream().queued() == 0) return std::nullopt;
             return PendingWait{last_progress_, milliseconds(listen.stalled_ms())};
-        case Wait::first_message:  // the limit of idle connections covers it
-        case Wait::drain:          // the last response ends the connection
+        case Wait::first_message:  // covered by the idle timeout
+        case Wait::drain:          // the last response closes the connection
             return std::nullopt;
     }
     return std::nullopt;
@@ -315,7 +317,7 @@
     return false;
 }
 
-// Less often while idle: ten thousand idle clients cost next to nothing.
+// Checks less often while idle, so that ten thousand idle clients cost little.
 void HttpConnection::check_timeouts_periodically() {
     check_timeouts();
     if (state_ == State::closed) return;
--- a/src/frontend/http/http_connection.h
+++ b/src/frontend/http/http_connection.h
@@ -1,8 +1,8 @@
-// One HTTP client's connection: one request after another, answered in their order.
+// One HTTP client's connection, which handles one request at a time in the order of arrival.
 //
 // States:   reading_head -> reading_body -> awaiting_response -> streaming_response -> reading_head
 //           after a response that ends the connection:   -> lingering -> closed
-//           once the client has gone:                    -> abandoned -> closed
+//           once the client has disconnected:            -> abandoned -> closed
 #pragma once
 
 #include <cstdint>
@@ -27,18 +27,18 @@
     HttpConnection(FrontendContext& context, ConnectionManager& manager, event::Fd fd,
                    std::string client, Micros waiting_since);
 
-    // ---- of the request in flight; see Frontend. Ignored in other states. ----
+    // ---- operations on the request in flight (see Frontend); ignored in other states ----
     std::shared_ptr<const upstream_http::OutRequest> upstream_request() const;
     void check_client_connected();
     void finish(const core::FinalResponse& response);
     void start_response(wire::Head& head, ResponseWriter::PauseHost pause_host);
     void append_body(std::string_view bytes);
     void end_response(const wire::Fields& trailers);
-    // Breaks off the response with the connection, so that the client cannot take it for complete.
-    // `reason`: for the access log.
+    // Aborts the response by resetting the connection, so that the client cannot take the response
+    // for complete. `reason`: for the access log.
     void abort_response(std::string_view reason);
 
-    // A response that is owed, its last bytes, or input that was not read.
+    // Whether a response is not sent completely, or input has not been read.
     bool has_unfinished_work() const;
 
     void on_data(std::string_view bytes) override;
@@ -52,8 +52,8 @@
         reading_body,
         awaiting_response,
         streaming_response,
-        lingering,  // the last response is written; what still comes is dropped
-        abandoned,  // the client has gone, its request is being cancelled
+        lingering,  // the last response is written; further input is discarded
+        abandoned,  // the client has disconnected; its request is being cancelled
         closed
     };
     std::optional<PendingWait> pending_wait(Wait wait) const override;
@@ -75,12 +75,12 @@
     void forward_if_complete();
     void forward_request();
 
-    // ---- responses and the end ----
+    // ---- responses and closing ----
     void reply_locally(const LocalReply& reply, std::string_view log_reason);
     bool is_last_response() const;
     void finish_exchange();  // -> reading_head or lingering
     void linger();           // -> lingering
-    void abandon_request();  // -> abandoned, where a request is in flight
+    void abandon_request();  // -> abandoned, if a request is in flight
     void disconnect();       // -> abandoned -> closed
     void close();            // -> closed
     void log_access(int status, std::string_view reason);
@@ -90,9 +90,9 @@
     std::string client_;
     State state_ = State::reading_head;
     std::string pending_;       // bytes of later requests
-    Micros last_progress_{0};   // the client last read something
+    Micros last_progress_{0};   // when the client last read response bytes
     bool half_closed_ = false;  // by the client
-    // On the heap, so that an idle connection stays small.
+    // Allocated separately so that an idle connection stays small.
     std::unique_ptr<ClientRequest> request_;
 };
 
--- a/src/frontend/http/local_reply.cpp
+++ b/src/frontend/http/local_reply.cpp
@@ -14,7 +14,7 @@
     int status;
     std::string_view title;
 };
-// By RejectReason. The types are part of the protocol and stay as they are.
+// Indexed by RejectReason. The types are part of the protocol and must not change.
 constexpr std::array<Rejection, 7> rejections{{
     {"quota", 429, "The account's quota is spent"},
     {"ceiling", 429, "The account's ceiling is reached"},
@@ -36,7 +36,7 @@
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
 }
 
-// Rounded up: a client that comes back at that time is not early.
+// Rounds up so that a client that retries at that time is not too early.
 void append_retry_after(std::string& out, Micros retry_after) {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(retry_after).count();
     append_field(out, "Retry-After", fmt::format_int(std::max<std::int64_t>(seconds, 0)).c_str());
--- a/src/frontend/http/local_reply.h
+++ b/src/frontend/http/local_reply.h
@@ -1,4 +1,4 @@
-// Responses that come from the gateway itself, not from a host. No I/O.
+// Responses that the gateway generates itself, without a host. No I/O.
 #pragma once
 
 #include <string>
@@ -17,14 +17,14 @@
     std::string title;
     std::string detail;
     Micros retry_after{0};     // shown with 429, 503 and 504 only
-    std::string extra_fields;  // each line with its end
+    std::string extra_fields;  // complete lines with CR LF
 };
 LocalReply local_reply(const core::FinalResponse& response);
 LocalReply local_reply(const RequestError& error);
-// As the problem's type and the log name it.
+// Returns the name that the problem's type and the log use.
 std::string_view to_string(RejectReason reason);
 
-// The whole message, with the body unless the request was a HEAD.
+// Returns the complete message, without a body if the request was a HEAD.
 std::string serialize(const LocalReply& reply, const ClientCapabilities& client,
                       const std::string& request_id);
 
--- a/src/frontend/http/message_translation.cpp
+++ b/src/frontend/http/message_translation.cpp
@@ -15,7 +15,7 @@
     return address.find(':') == std::string::npos ? address : "\"[" + address + "]\"";
 }
 
-// The values of a list field, ready for another element to be appended.
+// Returns the values of a list field in the form to which another element can be appended.
 std::string list_prefix(const wire::Fields& fields, std::string_view name) {
     std::string prefix;
     for (const wire::Field& field : fields)
@@ -23,8 +23,8 @@
     return prefix;
 }
 
-// Copies the end-to-end fields but for `dropped`, most of which the gateway sets itself.
-// `connection`: the words of the head's Connection field.
+// Appends the end-to-end fields except `dropped`, most of which the gateway sets itself.
+// `connection`: the options of the head's Connection field.
 void append_end_to_end(std::string& out, const wire::Fields& fields,
                        const std::vector<std::string_view>& connection,
                        std::span<const std::string_view> dropped) {
@@ -104,7 +104,7 @@
 std::string response_head_for_client(const wire::Head& head, const ClientCapabilities& client,
                                      const std::string& request_id, const std::string& via,
                                      Framing& framing) {
-    // Content-Length, the last one, is dropped from a 204 only (RFC 9110 8.6).
+    // Content-Length, the last element, is dropped from a 204 only (RFC 9110, section 8.6).
     constexpr std::array<std::string_view, 4> dropped{"Via", "X-Request-Id",
                                                       "endpoint-load-metrics", "Content-Length"};
     framing = framing_of(head, client);
--- a/src/frontend/http/message_translation.h
+++ b/src/frontend/http/message_translation.h
@@ -1,4 +1,4 @@
-// The heads of messages as they are forwarded, to hosts and to clients. No I/O.
+// Builds the heads of forwarded messages for hosts and for clients. No I/O.
 #pragma once
 
 #include <string>
@@ -10,23 +10,23 @@
 
 namespace wire = silverreach::http;
 
-// Names a client's request; the same on all its attempts.
+// Identifies a client's request; the same in all of its attempts.
 struct RequestIdentity {
     std::string request_id;   // X-Request-Id
     std::string traceparent;  // W3C Trace Context
 };
-// The client's own where they are sound, else new ones from `random`.
+// Uses the client's ids where they are valid and generates the others from `random`.
 RequestIdentity identify_request(const wire::Head& head, event::SystemRandom& random);
 
-// The head for hosts without its last empty line: hop-by-hop fields removed, Via, Forwarded,
-// X-Request-Id, traceparent and the body's length added. `path`: with the query; `via`: this
-// instance's name in Via.
+// Returns the head for hosts without its final empty line. Removes the hop-by-hop fields and adds
+// Via, Forwarded, X-Request-Id, traceparent and the body's length. `path`: with the query; `via`:
+// this instance's name in Via.
 std::string request_head_for_host(const wire::Head& head, const std::string& path,
                                   const RequestIdentity& identity,
                                   const std::string& client_address, const std::string& via,
                                   std::size_t body_bytes);
 
-// How the end of a response's body is shown to the client.
+// How the client recognizes the end of a response's body.
 enum class Framing {
     length,
     chunked,
@@ -34,24 +34,24 @@
     none  // there is no body
 };
 
-// What a response must suit.
+// The properties of a client and its request on which the form of the response depends.
 struct ClientCapabilities {
     int minor = 1;  // HTTP/1.x
     bool head_method = false;
     bool keep_alive = true;
     bool accepts_trailers = false;
-    std::string date;  // of now, for responses that have none (RFC 9110 6.6.1)
+    std::string date;  // current date, for responses that have none (RFC 9110, section 6.6.1)
 };
 
 void append_field(std::string& out, std::string_view name, std::string_view value);
-// The Connection field, where one is needed.
+// Appends the Connection field if one is needed.
 void append_connection_field(std::string& out, bool keep_alive, int minor);
 
-// A host's head as the client gets it; sets `framing` to how the body must follow.
+// Returns a host's head as sent to the client; sets `framing` to how the body must be sent.
 std::string response_head_for_client(const wire::Head& head, const ClientCapabilities& client,
                                      const std::string& request_id, const std::string& via,
                                      Framing& framing);
-// The end of a chunked body.
+// Returns the end of a chunked body.
 std::string last_chunk(const wire::Fields& trailers, bool accepts_trailers);
 
 }  // namespace silverreach::frontend::http
--- a/src/frontend/http/request_parameters.cpp
+++ b/src/frontend/http/request_parameters.cpp
@@ -8,7 +8,7 @@
 using openapi::Carrier;
 using openapi::Place;
 
-// Of a query: percent escapes, and '+' for a space. A malformed escape stays as it is.
+// Decodes the percent escapes of a query, and '+' as a space. Keeps malformed escapes unchanged.
 std::string decode_query(std::string_view text) {
     std::string out;
     for (std::size_t i = 0; i < text.size(); ++i) {
@@ -25,7 +25,7 @@
     return out;
 }
 
-// Takes the text up to the next separator, or to the end, off the front of `rest`.
+// Removes the text up to the next separator, or to the end, from `rest` and returns it.
 std::string_view next_element(std::string_view& rest, char separator) {
     const std::size_t end = std::min(rest.find(separator), rest.size());
     const std::string_view element = rest.substr(0, end);
--- a/src/frontend/http/request_resolver.cpp
+++ b/src/frontend/http/request_resolver.cpp
@@ -20,7 +20,7 @@
     return {401, std::move(title), std::move(detail), {}, true};
 }
 
-// All of `text`, or nothing.
+// Returns nothing unless all of `text` is a number.
 template <class Number>
 std::optional<Number> parse_number(std::string_view text) {
     Number value = 0;
@@ -42,7 +42,7 @@
     }
 }
 
-// Fields that Connection names are removed; these would be missed by the host.
+// Fields that Connection names are not forwarded; the host needs these.
 std::optional<RequestError> check_connection_field(const wire::Fields& fields) {
     constexpr std::array<std::string_view, 3> end_to_end{"Idempotency-Key", "Host",
                                                          "Content-Length"};
@@ -92,7 +92,7 @@
     const std::string* key = wire::find(head.fields, "Idempotency-Key");
     if (!key && route.key_required)
         return bad_request("Missing Idempotency-Key", "the operation requires it");
-    // Where the key may be absent, a request without one must not be repeated.
+    // If the key is optional, a request without one must not be repeated.
     Idempotency idempotency = route.effect;
     if (idempotency == Idempotency::idempotency_key && (!key || key->empty()))
         idempotency = Idempotency::non_idempotent;
@@ -101,7 +101,8 @@
     return std::nullopt;
 }
 
-// The key is read only from where the description has it. Two different ones name no account.
+// Reads the key only from the places that the description names. Different keys in one request
+// identify no account.
 std::optional<RequestError> RequestResolver::resolve_account(const wire::Head& head,
                                                              std::string_view query,
                                                              ResolvedRequest& into) const {
@@ -130,7 +131,7 @@
     if (values.empty()) return std::nullopt;
     const auto value = parse_number<double>(values.front());
     const double max_units = openapi::Policy{}.most_units;
-    // Written so that NaN is an error.
+    // The range check is negated so that NaN is an error.
     if (values.size() > 1 || !value || !(*value >= 0 && *value <= max_units))
         return bad_request("Bad units",
                            fmt::format("{} {}: expected one number from 0 to {}",
--- a/src/frontend/http/request_resolver.h
+++ b/src/frontend/http/request_resolver.h
@@ -1,4 +1,4 @@
-// Resolves a request's head under a description: route, account, units and deadline. No I/O.
+// Resolves a request's head against an API description: route, account, units and deadline. No I/O.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,7 @@
 
 namespace silverreach::frontend::http {
 
-// Why the gateway answers a request itself, as the client gets it.
+// An error with which the gateway answers a request itself, as sent to the client.
 struct RequestError {
     int status = 400;
     std::string title;
@@ -26,21 +26,21 @@
     std::optional<config::AccountRef> account;  // none: anonymous
     int request_class = -1;                     // index into Settings::classes
     double units = 1;
-    Micros deadline{0};  // from the request's begin; of the class, shortened by the request
-    std::string path;    // as it goes to hosts, with the query
+    Micros deadline{0};  // from the request's start; of the class, or a shorter one of the request
+    std::string path;    // as sent to hosts, with the query
 };
 
-// The account of requests that carry no key, where the description allows that: by the client's
-// address, so that strangers do not share one quota.
+// Returns the account of requests without a key, where the description allows these. The account
+// depends on the client's address, so that unrelated clients do not share one quota.
 std::string anonymous_account(std::string_view client_address);
 
-// Configuration and accounts must outlive it.
+// Configuration and accounts must outlive the resolver.
 class RequestResolver {
   public:
     RequestResolver(const config::Config& config, config::AccountBook& accounts)
         : config_(config), accounts_(accounts) {}
-    // Fills `into`, or returns what is wrong with the request; `into` then holds what was resolved
-    // before the error. `description` must outlive it.
+    // Fills `into`, or returns the request's error; `into` then holds what was resolved before the
+    // error. `description` must outlive `into`.
     std::optional<RequestError> resolve(const wire::Head& head,
                                         const openapi::Description& description,
                                         ResolvedRequest& into) const;
--- a/src/frontend/http/response_writer.h
+++ b/src/frontend/http/response_writer.h
@@ -1,4 +1,4 @@
-// Writes a host's response to its client as it comes.
+// Writes a host's response to the client as it arrives.
 #pragma once
 
 #include <functional>
@@ -10,17 +10,17 @@
 
 namespace silverreach::frontend::http {
 
-// Bounds the bytes that wait for a slow client by pausing the host. Order of calls: start, then
+// Limits the bytes buffered for a slow client by pausing the host. Order of calls: start, then
 // write_body and on_drained in any number, then finish.
 class ResponseWriter {
   public:
-    // Called with true when the client is slow to read, with false once it has caught up.
+    // Called with true when the client reads too slowly, with false once it has caught up.
     using PauseHost = std::function<void(bool)>;
 
     void start(event::Stream& stream, const std::string& head, Framing framing,
                PauseHost pause_host);
     void write_body(event::Stream& stream, std::string_view bytes);
-    // All that was written has been sent.
+    // Called when all written bytes have been sent.
     void on_drained();
     void finish(event::Stream& stream, const wire::Fields& trailers, bool accepts_trailers);
 
--- a/src/frontend/resp/buffer_budget.h
+++ b/src/frontend/resp/buffer_budget.h
@@ -1,4 +1,4 @@
-// Memory for commands that are not complete yet, over all connections.
+// Limits the received bytes that all connections together buffer until their commands are handled.
 #pragma once
 
 #include <cstddef>
--- a/src/frontend/resp/connection_close.h
+++ b/src/frontend/resp/connection_close.h
@@ -1,4 +1,4 @@
-// Why connections of clients end.
+// The reasons for which client connections end.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +11,23 @@
 using event::Micros;
 
 enum class CloseReason {
-    client_ended,    // by its client, or broken
+    client_ended,    // closed by the client, or the connection failed
     no_command,      // no complete command in time
     idle,            // no command for too long
-    evicted,         // its place was needed
-    protocol_error,  // a broken or unfinished command
-    draining,        // this instance ends
+    evicted,         // for a new connection, or to free a descriptor
+    protocol_error,  // a malformed or unfinished command
+    draining,        // this instance is draining
     answers_unread,  // the client does not read its responses
-    linger_over,     // ended here, and its client did not end in time
-    linger_flood,    // nor stopped sending
-    linger_crowded   // too many such
+    linger_over,     // lingered, and the client did not close its side in time
+    linger_flood,    // lingered, and the client sent too many bytes
+    linger_crowded   // lingered longest while too many connections were lingering
 };
 constexpr std::size_t close_reason_count = 10;
-// As the log names it.
+// Returns the name that the log uses.
 std::string_view to_string(CloseReason reason);
 
-// A connection that this instance ends, or has seen end. Reported once when lingering begins, and
-// once more where the connection is then closed for another reason.
+// The end of a connection, by this instance or by its client. Reported when lingering begins, and
+// again with another reason when the lingering connection is closed.
 struct ConnectionClose {
     CloseReason reason = CloseReason::client_ended;
     std::size_t requests_in_flight = 0;
--- a/src/frontend/resp/frontend.cpp
+++ b/src/frontend/resp/frontend.cpp
@@ -53,7 +53,7 @@
 
 void Frontend::check_client_connected(RequestId id) {
     const RequestInFlight* request = context_.requests.find(id);
-    // One received in this turn was checked when it was read.
+    // A request that was received in this turn of the loop was checked when it was read.
     if (!request || request->received_at == loop_.now()) return;
     RespConnection& connection = *request->connection;
     if (connection.peer_closed()) connection.close(CloseReason::client_ended);
--- a/src/frontend/resp/frontend.h
+++ b/src/frontend/resp/frontend.h
@@ -1,11 +1,12 @@
 // The platform's front end: RESP2 clients over TCP. It reads commands, hands requests to the core
 // and writes each connection's responses in the order of its commands. platform::CommandValidator
-// decides whether a command is valid, the core what becomes of it.
+// decides whether a command is valid; the core decides how a request is handled.
 //
-// Protection against clients: silent and unfinished connections are closed in time; a broken frame
-// gets one error line and the end; requests in flight, buffered bytes and unread responses are
-// bounded; a connection that keeps sending invalid commands is read ever more slowly; when
-// descriptors run short silent and idle connections are closed first.
+// Protection against clients: connections without a complete command, or with an unfinished one,
+// are closed after a timeout; a malformed frame gets one error reply, then the connection is
+// closed; requests in flight, buffered bytes and unread responses are bounded; a connection that
+// keeps sending invalid commands is read more and more slowly; when descriptors run short, silent
+// and idle connections are closed first.
 #pragma once
 
 #include <functional>
@@ -20,15 +21,18 @@
 
 struct FrontendLimits {
     std::size_t max_connections = 100;
-    std::size_t max_lingering = 12;  // beside these: ended here, not yet by their clients
-    std::size_t max_buffered_bytes = std::size_t{4} * 1024 * 1024;  // of commands, over all
+    // Of connections that are closed by this instance but not yet by their clients; they do not
+    // count towards max_connections.
+    std::size_t max_lingering = 12;
+    // Of commands, over all connections.
+    std::size_t max_buffered_bytes = std::size_t{4} * 1024 * 1024;
 };
 
 // Used on the loop's thread.
 class Frontend {
   public:
-    // `clock` gives the core's time. Loop, validator and core must outlive the front end. Throws
-    // event::SystemError where the address cannot be listened on.
+    // `clock` returns the core's time. Loop, validator and core must outlive the front end. Throws
+    // event::SystemError if it cannot listen on the address.
     Frontend(event::Loop& loop, const config::Endpoint& listen,
              const platform::CommandValidator& validator, const FrontendLimits& limits,
              core::RequestCoordinator& core, std::function<Micros()> clock);
@@ -37,16 +41,16 @@
     bool listening() const { return connections_.listening(); }
 
     // ---- requests; an id that is not in flight is ignored ----
-    // The command for hosts; nullptr: not in flight.
+    // Returns the command for hosts; nullptr if the request is not in flight.
     std::shared_ptr<const platform::OutCommand> upstream_command(RequestId id) const;
-    // As the client named the request; 0: not in flight.
+    // Returns the id that the client gave the request; 0 if the request is not in flight.
     std::uint64_t client_id(RequestId id) const;
-    // Sends a rejection or failure.
+    // Sends the error reply for a rejection or failure.
     void finish(RequestId id, const core::FinalResponse& response);
-    // Sends a host's complete value.
+    // Sends a host's complete value to the client.
     void respond(RequestId id, std::string_view value);
-    // Before an attempt that comes later than its request: closes the connection, and with it
-    // abandons the request, if the client has closed its side.
+    // Called before an attempt that starts later than its request. If the client has closed its
+    // side, closes the connection, which abandons the request.
     void check_client_connected(RequestId id);
     std::size_t in_flight() const { return context_.requests.size(); }
 
@@ -56,11 +60,11 @@
     void on_shortage(std::function<bool()> close_idle) {
         connections_.on_shortage(std::move(close_idle));
     }
-    // Stops listening. A connection ends once its last request is answered, and what is still
-    // received is answered before `deadline` (on the loop's clock); after that a connection ends as
-    // soon as it has no request in flight.
+    // Stops listening. A connection closes once its last request is answered; requests that are
+    // received before `deadline` (on the loop's clock) are still answered. After that, a connection
+    // closes as soon as it has no request in flight.
     void start_draining(Micros deadline);
-    // Called for every connection that ends, for the log.
+    // Sets the function that logs the end of each connection.
     void on_close(std::function<void(const ConnectionClose&)> callback) {
         context_.on_close = std::move(callback);
     }
@@ -68,7 +72,7 @@
     struct Stats : FrontendCounters {
         std::size_t connections = 0;
         std::uint64_t accepted = 0;
-        std::uint64_t rejected = 0;  // at the limit of connections
+        std::uint64_t rejected = 0;  // at max_connections
     };
     Stats stats() const;
 
--- a/src/frontend/resp/frontend_context.h
+++ b/src/frontend/resp/frontend_context.h
@@ -1,4 +1,4 @@
-// What the connections of one RESP front end share.
+// The state that the connections of one RESP front end share.
 #pragma once
 
 #include <array>
@@ -15,9 +15,9 @@
 
 struct FrontendCounters {
     std::uint64_t invalid_commands = 0;
-    std::uint64_t protocol_errors = 0;  // broken or unfinished commands
-    std::uint64_t silent = 0;           // closed without a complete command, or evicted
-    // Violations of a rule: closed by this instance with requests in flight.
+    std::uint64_t protocol_errors = 0;  // malformed or unfinished commands
+    std::uint64_t silent = 0;           // connections closed without a complete command, or evicted
+    // Rule violations: connections that this instance closed with requests in flight.
     std::uint64_t closed_with_requests = 0;
     std::array<std::uint64_t, close_reason_count> closes{};  // by CloseReason
 };
--- a/src/frontend/resp/invalid_command_throttle.h
+++ b/src/frontend/resp/invalid_command_throttle.h
@@ -1,4 +1,4 @@
-// Slows down a connection that keeps sending commands that make no sense.
+// Slows down a connection that keeps sending invalid commands.
 #pragma once
 
 #include "event/loop.h"
@@ -7,11 +7,11 @@
 
 using event::Micros;
 
-// Counts the invalid commands in a row: a connection that also carries valid ones, of a client with
-// many users behind it, is not slowed down.
+// Counts consecutive invalid commands, so that a connection that also carries valid ones, such as
+// that of a client with many users, is not slowed down.
 class InvalidCommandThrottle {
   public:
-    // Returns the pause before the next command is to be read; 0: none.
+    // Returns the pause before the next command is read; 0: none.
     Micros on_invalid();
     void on_valid() { consecutive_ = 0; }
 
--- a/src/frontend/resp/request_table.h
+++ b/src/frontend/resp/request_table.h
@@ -1,4 +1,4 @@
-// The requests in flight of all connections.
+// The requests in flight on all connections.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 struct RequestInFlight {
     RespConnection* connection = nullptr;  // stays valid while the request is in the table
     std::uint64_t response_number = 0;     // in the connection's ResponseQueue
-    std::uint64_t client_id = 0;           // as the client named the request
+    std::uint64_t client_id = 0;           // given by the client
     event::Micros received_at{0};          // on the loop's clock
     std::shared_ptr<const platform::OutCommand> command;
 };
@@ -26,10 +26,10 @@
 class RequestTable {
   public:
     void add(RequestId id, RequestInFlight request);
-    // nullptr: not in flight.
+    // Returns nullptr if the request is not in flight.
     const RequestInFlight* find(RequestId id) const;
     bool has_client_id(std::uint64_t client_id) const;
-    // Removes the request; nothing where it is not in flight.
+    // Removes and returns the request; returns nothing if it is not in flight.
     std::optional<RequestInFlight> take(RequestId id);
     std::size_t size() const { return requests_.size(); }
 
--- a/src/frontend/resp/resp_connection.cpp
+++ b/src/frontend/resp/resp_connection.cpp
@@ -15,14 +15,14 @@
 constexpr Micros idle_timeout = 8s;
 constexpr Micros unread_timeout = 5s;
 constexpr Micros linger_timeout = 300ms;
-constexpr Micros response_margin = 5ms;  // of the client's time, for the way back and this loop
+constexpr Micros response_margin = 5ms;  // reserved for the response's transfer and this loop
 constexpr std::size_t max_responses = 64;
 constexpr std::size_t max_commands_per_turn = 64;
 constexpr std::size_t max_unread_bytes = std::size_t{256} * 1024;
 constexpr std::size_t max_discarded_bytes = std::size_t{256} * 1024;
 constexpr std::size_t max_read_ahead_bytes = std::size_t{32} * 1024;
-constexpr std::size_t unbudgeted_bytes = 4096;     // a connection may always buffer so much
-constexpr std::size_t idle_input_capacity = 4096;  // bytes that an empty buffer keeps
+constexpr std::size_t unbudgeted_bytes = 4096;     // per connection, regardless of the budget
+constexpr std::size_t idle_input_capacity = 4096;  // bytes that an empty buffer keeps allocated
 }  // namespace
 
 RespConnection::RespConnection(FrontendContext& context, ConnectionManager& manager, event::Fd fd,
@@ -48,7 +48,7 @@
         if (!discard(bytes.size())) close(CloseReason::linger_flood);
         return;
     }
-    // The client's end may have arrived with the bytes: nobody waits for a response.
+    // If the client has closed its side after these bytes, it does not wait for a response.
     if (peer_closed()) return close(CloseReason::client_ended);
     start_wait(loop().now());
     if (state_ == State::failing) {
@@ -62,8 +62,8 @@
     read_commands();
 }
 
-// The client of commands that waited here may have gone since, its end behind bytes that were not
-// read.
+// The client may have closed its side while its commands waited here; the loop does not report that
+// while unread bytes precede it.
 void RespConnection::resume() {
     if (!reading_commands_ && state_ != State::closed && peer_closed())
         return close(CloseReason::client_ended);
@@ -82,7 +82,7 @@
     account_input(before);
     flush();
     if (state_ == State::closed) return;
-    // What stopped it may have been sent with the flush, and nothing else would resume it.
+    // flush may have removed the reason for stopping, and no other event would resume reading.
     const bool resume_later =
         result == ReadResult::turn_used || (result == ReadResult::no_capacity && !must_wait());
     const bool incomplete = !resume_later && !must_wait();
@@ -92,7 +92,7 @@
     if (resume_later) call_later(0us, [this] { resume(); });
 }
 
-// Handles the complete commands, as long as there is capacity for their responses.
+// Handles complete commands while there is capacity for their responses.
 RespConnection::ReadResult RespConnection::read_batch(std::size_t& consumed) {
     std::string_view rest = input_;
     for (std::size_t n = 0; state_ == State::open && !rest.empty(); ++n) {
@@ -121,7 +121,7 @@
 void RespConnection::consume_input(std::size_t consumed) {
     input_.erase(0, consumed);
     arrivals().consume(consumed);
-    // After a broken frame nothing is a command any more.
+    // The bytes after a malformed frame cannot be parsed as commands.
     if (state_ != State::open) input_.clear();
     if (input_.empty()) arrivals().consume_all();
     if (input_.empty() && input_.capacity() > idle_input_capacity) input_.shrink_to_fit();
@@ -136,8 +136,8 @@
            stream().queued() >= max_unread_bytes;
 }
 
-// Reads somewhat ahead of the capacity for responses, so that the client's end is seen behind
-// commands that wait; not where all connections together buffer too much.
+// Reads ahead of the capacity for responses, so that the client's close is detected behind waiting
+// commands, but not while all connections together exceed the buffer budget.
 void RespConnection::update_reading() {
     std::size_t max_buffered = wire::ParseLimits{}.max_message_bytes;
     if (must_wait()) max_buffered = context_.buffer_budget.exceeded() ? 0 : max_read_ahead_bytes;
@@ -224,7 +224,7 @@
         update_reading();
 }
 
-// ---- time-outs ------------------------------------------------------------------------------
+// ---- timeouts -------------------------------------------------------------------------------
 
 std::optional<ClientConnection::PendingWait> RespConnection::pending_wait(Wait wait) const {
     if ((state_ == State::lingering) != (wait == Wait::client_end)) return std::nullopt;
@@ -241,7 +241,7 @@
             if (!drained()) return std::nullopt;
             return PendingWait{loop().now(), 0us};
         case Wait::message_rest: {
-            // Not while complete commands wait for their turn.
+            // Does not apply while complete commands wait to be handled.
             const bool may_read =
                 state_ == State::open && !throttled_ && responses_.size() < max_responses;
             if (input_.empty() || !may_read || incomplete_since_ == 0us) return std::nullopt;
@@ -281,7 +281,7 @@
     return false;
 }
 
-// ---- the end --------------------------------------------------------------------------------
+// ---- closing --------------------------------------------------------------------------------
 
 bool RespConnection::idle() const {
     return responses_.empty() && input_.empty() && stream().queued() == 0;
@@ -296,7 +296,7 @@
     return idle() ? EvictionPriority::idle : EvictionPriority::none;
 }
 
-// Nothing is owed to the client, and the connection is to end.
+// Whether no response is pending and the connection must end.
 bool RespConnection::drained() const {
     if (state_ == State::lingering) return false;
     if (!responses_.empty() || stream().queued() > 0) return false;
@@ -310,7 +310,7 @@
 }
 
 void RespConnection::fail(std::string_view why) {
-    // The responses to what came before it are sent first.
+    // The responses to earlier commands are sent first.
     responses_.add_ready("-ERR Protocol error: " + std::string(why) + "\r\n");
     state_ = State::failing;
     flush();
--- a/src/frontend/resp/resp_connection.h
+++ b/src/frontend/resp/resp_connection.h
@@ -1,4 +1,4 @@
-// One RESP client's connection: commands in, responses out in the same order.
+// One RESP client's connection: reads commands and writes the responses in the same order.
 //
 // States:   open -> failing -> lingering -> closed,   open -> lingering -> closed,   any -> closed
 #pragma once
@@ -22,10 +22,10 @@
     RespConnection(FrontendContext& context, ConnectionManager& manager, event::Fd fd,
                    Micros waiting_since);
 
-    // The complete response to the command of that number, as it goes out.
+    // Receives the complete serialized response to the command of that number.
     void on_response(std::uint64_t number, std::string response);
-    // Closes at once and abandons the requests in flight. The connection is destroyed at the loop's
-    // next turn.
+    // Closes the connection immediately and abandons its requests in flight. The connection is
+    // destroyed in the loop's next turn.
     void close(CloseReason reason);
 
     EvictionPriority eviction_priority() const override;
@@ -41,14 +41,14 @@
   private:
     enum class State {
         open,
-        failing,    // after a protocol error: sends what is owed before it, reads no command
-        lingering,  // nothing is owed; waits for the client to end
+        failing,    // after a protocol error: sends pending responses, reads no command
+        lingering,  // no response is pending; waits for the client to close its side
         closed
     };
     enum class ReadResult {
-        incomplete,   // the rest of a command is to come
-        no_capacity,  // for responses
-        turn_used     // more complete commands may wait for the next turn
+        incomplete,   // no complete command is left
+        no_capacity,  // for further responses
+        turn_used     // command limit of a turn; more complete commands may be buffered
     };
 
     std::optional<PendingWait> pending_wait(Wait wait) const override;
@@ -64,30 +64,30 @@
     void reject_command(std::string_view why);
     bool must_wait() const;
     void update_reading();
-    void account_input(std::size_t before);  // its size before the present change
+    void account_input(std::size_t before);  // size before the change
 
-    // ---- responses and the end ----
+    // ---- responses and closing ----
     void flush();
     bool drained() const;
-    void fail(std::string_view why);  // open -> failing: one error line, then the end
+    void fail(std::string_view why);  // open -> failing; sends one error reply
     void linger(CloseReason reason);  // open or failing -> lingering
     CloseReason end_reason() const;   // of a drained connection
     bool idle() const;
-    bool discard(std::size_t bytes);  // false: beyond what is read and dropped
+    bool discard(std::size_t bytes);  // false: above max_discarded_bytes
     void report_close(CloseReason reason);
 
     FrontendContext& context_;
     State state_ = State::open;
     silverreach::resp::CommandParser parser_;
-    std::string input_;  // bytes that are not a command yet
+    std::string input_;  // bytes that have not been handled yet
     ResponseQueue responses_;
     InvalidCommandThrottle throttle_;
     bool throttled_ = false;
-    bool reading_commands_ = false;  // on_response must not come back into read_commands
+    bool reading_commands_ = false;  // keeps on_response from re-entering read_commands
     std::uint64_t commands_ = 0;
     Micros opened_at_;
-    Micros incomplete_since_{0};  // an unfinished command; 0: none
-    Micros unread_since_{0};      // responses that the client has not read; 0: none
+    Micros incomplete_since_{0};  // of an unfinished command; 0: none
+    Micros unread_since_{0};      // of responses that the client has not read; 0: none
     std::size_t discarded_bytes_ = 0;
 };
 
--- a/src/frontend/resp/response_queue.h
+++ b/src/frontend/resp/response_queue.h
@@ -10,8 +10,8 @@
 
 namespace silverreach::frontend::resp {
 
-// Each command has an entry, pending or ready, until its response is taken. Entries are named by
-// their command's number among those of the connection, from 0.
+// Each command has an entry, pending or ready, until its response is taken. An entry is identified
+// by the number of its command on the connection, counted from 0.
 class ResponseQueue {
   public:
     // Adds an entry for a request that is in flight and returns its number.
@@ -19,7 +19,7 @@
     void add_ready(std::string response);
     // Sets the response of a pending entry. An unknown number is ignored and returns false.
     bool complete(std::uint64_t number, std::string response);
-    // Removes the ready entries in front and returns their responses as one.
+    // Removes the ready entries at the front and returns their concatenated responses.
     std::string take_ready();
 
     bool empty() const { return entries_.empty(); }
@@ -28,7 +28,7 @@
 
   private:
     struct Entry {
-        RequestId request = 0;  // in flight; 0: the response is here
+        RequestId request = 0;  // in flight; 0: the response is ready
         std::string response;
     };
     std::deque<Entry> entries_;
--- a/src/http/chunk_validator.cpp
+++ b/src/http/chunk_validator.cpp
@@ -4,7 +4,7 @@
 
 namespace silverreach::http {
 namespace {
-constexpr int max_size_digits = 15;  // 2^60 bytes
+constexpr int max_size_digits = 15;  // hexadecimal: sizes below 2^60 bytes
 constexpr int max_extension_bytes = 1024;
 constexpr int max_trailer_bytes = 8 * 1024;
 constexpr std::uint64_t hex_base = 16;
@@ -142,7 +142,7 @@
         case State::size_lf:
             if (byte != '\n') return ChunkError::size_without_crlf;
             return go(remaining_bytes_ == 0 ? State::trailer_start : State::data);
-        case State::data:  // all of it has been read
+        case State::data:  // which has been read completely
         case State::data_cr:
             return byte == '\r' ? go(State::data_lf) : ChunkError::data_without_crlf;
         case State::data_lf:
--- a/src/http/chunk_validator.h
+++ b/src/http/chunk_validator.h
@@ -10,7 +10,7 @@
     none,
     size_not_hexadecimal,
     size_too_large,
-    size_not_ended,  // neither by CR LF nor by an extension
+    size_not_ended,  // followed by neither CR LF nor an extension
     size_without_crlf,
     extension_without_name,
     extension_without_value,
@@ -25,20 +25,22 @@
     trailers_too_long,
     body_without_crlf
 };
-// For the client.
+// Returns a description for the error response; empty for `none`.
 std::string_view to_string(ChunkError error);
 
-// Reads a body byte by byte, in pieces of any size. It is stricter than http-parser, as what one
-// program tolerates another one in the path may read as the next message; white space around ";"
-// and "=", which the grammar allows and nobody sends, is an error too.
+// Validates a body byte by byte, in pieces of any size. It is stricter than http-parser, because
+// bytes that one program tolerates may be read as the next message by another program on the path.
+// White space around ";" and "=", which the grammar allows but senders do not use, is an error too.
 class ChunkValidator {
   public:
-    // Reads bytes up to the body's end or the first that is wrong, and returns what is wrong.
+    // Reads bytes up to the end of the body or the first invalid byte. Returns the error of that
+    // byte, or `none`.
     ChunkError validate(std::string_view bytes);
     bool done() const { return state_ == State::done; }
 
   private:
-    // In the order of a body. The names say what is expected next.
+    // Each state is named for the element that is expected next. The states are in the order of a
+    // body, on which in_extension and in_trailers depend.
     enum class State {
         size_start,
         size,
@@ -70,9 +72,10 @@
     bool in_trailers() const;
 
     State state_ = State::size_start;
-    std::uint64_t remaining_bytes_ = 0;  // of the chunk's data; its size while that is read
+    // Of the chunk's data. While the size is read: the value of its digits so far.
+    std::uint64_t remaining_bytes_ = 0;
     int size_digits_ = 0;
-    int extension_bytes_ = 0;  // of this chunk
+    int extension_bytes_ = 0;  // of the current chunk
     int trailer_bytes_ = 0;    // of all trailers
 };
 
--- a/src/http/head.cpp
+++ b/src/http/head.cpp
@@ -9,7 +9,7 @@
 constexpr std::string_view digits = "0123456789";
 constexpr std::size_t max_length_digits = 15;
 constexpr std::size_t max_response_fields = 256;
-constexpr std::size_t max_around_target = 40;  // bytes: method, version and spaces
+constexpr std::size_t max_around_target = 40;  // bytes of method, version and spaces
 
 char lower(char c) {
     return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
@@ -32,7 +32,7 @@
     return element;
 }
 
-// What the field lines of a head say about its framing.
+// The field lines of a head that determine where the message ends, and its Host.
 struct Framing {
     int lengths = 0;
     int codings = 0;
@@ -63,7 +63,7 @@
     });
 }
 
-// Checks the field lines behind the first line; `lines` ends with the empty line.
+// Checks the field lines that follow the first line; `lines` ends with the empty line.
 std::optional<Fault> check_fields(std::string_view lines, std::size_t max_fields,
                                   Framing& framing) {
     std::size_t count = 0;
@@ -140,8 +140,8 @@
     const std::size_t line = std::min(head.find("\r\n"), head.size());
     if (line > limits.target + max_around_target) return Fault{414, "a target that is too long"};
     if (head.size() > limits.head) return Fault{431, "a head that is too long"};
-    // A bare LF is rejected early: such a client waits for a response, and the end of its head
-    // would never be found.
+    // A bare LF is rejected before the head is complete: a client that sends one waits for a
+    // response, but the end of its head would never be found.
     for (std::size_t i = head.find('\n'); i != std::string_view::npos; i = head.find('\n', i + 1))
         if (i == 0 || head[i - 1] != '\r') return Fault{400, "a line that does not end with CR LF"};
     return std::nullopt;
@@ -232,7 +232,7 @@
 }
 
 std::string date_text(std::time_t at) {
-    // Written out, since strftime's names follow the locale.
+    // strftime is not used because its names depend on the locale.
     static constexpr std::array<const char*, 7> days{"Sun", "Mon", "Tue", "Wed",
                                                      "Thu", "Fri", "Sat"};
     static constexpr std::array<const char*, 12> months{"Jan", "Feb", "Mar", "Apr", "May", "Jun",
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -53,7 +53,7 @@
     return is_request() ? 400 : 502;
 }
 
-// Returns what http-parser expects: 1 for a message without a body, -1 to stop.
+// Returns a code for http-parser: 1 if the message has no body, -1 to stop, else 0.
 int Parser::on_headers_complete() {
     head_.request = is_request();
     head_.minor = parser_.http_minor;
@@ -99,7 +99,7 @@
 }
 
 std::size_t Parser::feed_message(std::string_view bytes) {
-    // Validated first: no byte of an invalid chunked body is passed on.
+    // Validated before http-parser reads them: if they contain an error, none of them is passed on.
     if (head_.chunked) {
         const ChunkError error = chunks_.validate(bytes);
         if (error != ChunkError::none) {
@@ -112,11 +112,11 @@
 
 std::size_t Parser::feed_head(std::string_view bytes) {
     const std::size_t before = buffered_.size();
-    // No more is buffered than a head may have, however large the piece.
+    // However large the piece is, at most one byte more than the limit of a head is buffered.
     const std::string_view piece =
         bytes.substr(0, limits_.head + 1 - std::min(limits_.head, before));
     buffered_.append(piece);
-    std::size_t empty_lines = 0;  // bytes; RFC 9112 2.2: ignored before a request
+    std::size_t empty_lines = 0;  // in bytes; ignored before a request (RFC 9112, section 2.2)
     while (is_request() && std::string_view(buffered_).substr(empty_lines).starts_with("\r\n"))
         empty_lines += 2;
     buffered_.erase(0, empty_lines);
@@ -139,8 +139,8 @@
     head_ = Head{};
     chunks_ = ChunkValidator{};
     if (is_request()) {
-        // http-parser accepts some methods only, and treats CONNECT differently; which methods are
-        // valid is for the owner to decide.
+        // The owner decides which methods are valid. http-parser always reads POST, because it
+        // accepts only some methods and treats CONNECT differently.
         head_.method = head.substr(0, head.find(' '));
         head.replace(0, head_.method.size(), "POST");
     }
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -1,5 +1,5 @@
-// Parses one HTTP/1.1 message after another from a stream of bytes, on http-parser. Heads are
-// buffered until complete and checked by head.h first. No I/O.
+// Parses consecutive HTTP/1.1 messages from a byte stream with http-parser. Each head is buffered
+// until it is complete and checked by head.h before http-parser reads it. No I/O.
 #pragma once
 
 #include <http_parser.h>
@@ -23,47 +23,48 @@
     bool chunked = false;
     bool has_length = false;
     std::uint64_t length = 0;  // bytes, of Content-Length
-    bool until_close = false;  // a response that ends with its connection
+    bool until_close = false;  // a response whose body ends with its connection
 };
 
-// States:   reading_head -> reading_message -> complete,   any -> failed;   next() begins again
+// States:   reading_head -> reading_message -> complete,   any -> failed
+//           next(): any -> reading_head
 class Parser {
   public:
     enum class Kind {
         request,
         response
     };
-    // Called from within feed and finish, which the owner must not call from here.
+    // Called from within feed and finish; the callbacks must not call these functions.
     struct Events {
         virtual ~Events() = default;
-        // A complete head, which may be moved from. Returns false to fail the parser (the owner has
-        // answered the request).
+        // Receives a complete head, which may be moved from. Returns false to fail the parser (the
+        // owner has answered the request).
         virtual bool on_head(Head& head) = 0;
         virtual void on_body(std::string_view bytes) = 0;
         virtual void on_message_end(Fields& trailers) = 0;
-        virtual void on_fault(const Fault& fault) = 0;  // nothing further is read
+        virtual void on_fault(const Fault& fault) = 0;  // the parser reads nothing further
     };
     // `events` must outlive the parser.
     Parser(Kind kind, Events& events, HeadLimits limits = {});
 
-    // Reads bytes up to the end of one message and returns how many were consumed. An incomplete
-    // head is buffered here. After a message's end call next() before feeding more.
+    // Reads bytes up to the end of one message and returns how many were consumed. Buffers an
+    // incomplete head. After the end of a message, next() must be called before more is fed.
     std::size_t feed(std::string_view bytes);
-    // The stream has ended: completes a response that ends so; within any other message it is a
-    // fault.
+    // Handles the end of the stream, which completes a response that ends with its connection and
+    // is a fault within any other message.
     void finish();
-    void next();  // another message begins, in whatever state
-    // The next response answers a HEAD request and has no body.
+    void next();  // prepares for another message; may be called in any state
+    // Sets whether the next response answers a HEAD request and therefore has no body.
     void answer_to_head(bool yes) { to_head_ = yes; }
 
-    // Between messages, without a byte of the next.
+    // Whether the parser is between messages and has no byte of the next one.
     bool idle() const { return state_ == State::reading_head && buffered_.empty(); }
     bool done() const { return state_ == State::complete; }
 
   private:
     enum class State {
         reading_head,
-        reading_message,  // its head is complete
+        reading_message,  // the head is complete
         complete,
         failed
     };
@@ -84,14 +85,14 @@
     HeadLimits limits_;
     Kind kind_;
     State state_ = State::reading_head;
-    std::string buffered_;  // the head so far
+    std::string buffered_;  // an incomplete head
     Head head_;
     ChunkValidator chunks_;
     Fields trailers_;
     bool last_was_value_ = true;
     bool in_trailers_ = false;
     bool to_head_ = false;
-    bool informational_ = false;  // a 1xx, which is passed over
+    bool informational_ = false;  // the message is a 1xx response, which is skipped
 };
 
 }  // namespace silverreach::http
--- a/src/resp/command_parser.cpp
+++ b/src/resp/command_parser.cpp
@@ -13,7 +13,7 @@
     return ParseStatus::complete;
 }
 
-// Parses the part that the state names and moves to the next one.
+// Parses the element that the state names and moves to the next one.
 ParseStatus CommandParser::advance(std::string_view bytes) {
     switch (state_) {
         case State::array_header:
--- a/src/resp/command_parser.h
+++ b/src/resp/command_parser.h
@@ -1,7 +1,7 @@
-// Parses RESP2 commands as a server gets them: an array of bulk strings, its arguments. No I/O.
+// Parses RESP2 commands as a server receives them: arrays of bulk strings, the arguments. No I/O.
 //
-// Each announced length is checked when its own header is complete, before a byte of what it
-// announces is waited for, so a client's claim costs no memory.
+// Each length is checked as soon as its header is complete, before the parser waits for the bytes
+// that the header announces, so that an excessive length causes no allocation.
 //
 //   array_header ──> bulk_header ──> bulk_value ──> complete
 //                        ▲               │
@@ -23,19 +23,19 @@
   public:
     explicit CommandParser(ParseLimits limits = {}) : limits_(limits) {}
 
-    // `bytes` begin with the command being parsed; between two calls they only grow. The caller
-    // keeps them: the parser remembers positions.
+    // `bytes` starts with the command being parsed and may only grow between two calls. The caller
+    // keeps the bytes; the parser stores positions in them.
     ParseStatus parse(std::string_view bytes);
-    // Ready for the next command; the caller removes `consumed()` bytes first.
+    // Prepares for the next command. The caller removes `consumed()` bytes before it parses that.
     void reset();
 
-    // Of a complete command; `bytes` are those passed to `parse`.
+    // Valid for a complete command; `bytes` is the text passed to `parse`.
     std::size_t consumed() const { return position_; }
     std::size_t argument_count() const { return arguments_.size(); }
     std::string_view argument(std::string_view bytes, std::size_t index) const {
         return bytes.substr(arguments_[index].offset, arguments_[index].size);
     }
-    // Of a malformed one.
+    // Valid for a malformed command.
     ParseError error() const { return error_; }
 
   private:
@@ -59,7 +59,7 @@
 
     ParseLimits limits_;
     State state_ = State::array_header;
-    std::size_t position_ = 0;  // of the part that `state_` names
+    std::size_t position_ = 0;  // of the element that `state_` names
     std::size_t argument_total_ = 0;
     std::size_t bulk_size_ = 0;
     std::vector<Argument> arguments_;
--- a/src/resp/framing.cpp
+++ b/src/resp/framing.cpp
@@ -4,7 +4,7 @@
 
 namespace silverreach::resp {
 namespace {
-constexpr std::size_t max_length_digits = 10;  // longer numbers are beyond every limit
+constexpr std::size_t max_length_digits = 10;  // longer numbers exceed every limit
 constexpr std::size_t sign_bytes = 1;
 
 bool is_length_prefix(std::string_view text) {
--- a/src/resp/parse_limits.h
+++ b/src/resp/parse_limits.h
@@ -1,4 +1,4 @@
-// What a peer may send in one message.
+// The limits of one RESP message from a peer.
 #pragma once
 
 #include <cstddef>
@@ -12,13 +12,13 @@
     std::size_t max_message_bytes = std::size_t{68} * 1024;  // of a command or reply
     std::size_t max_line_bytes = 256;                        // of a status, error or integer line
 
-    // A bulk string of `size` bytes, announced in its header, that begins at `position` of a
-    // message.
+    // Whether a message may contain a bulk string with the announced `size` in bytes that begins at
+    // `position` of the message.
     bool allow_bulk(std::int64_t size, std::size_t position) const {
         return size >= 0 && size <= static_cast<std::int64_t>(max_bulk_bytes) &&
                position + static_cast<std::size_t>(size) <= max_message_bytes;
     }
-    // An announced number of elements, at least `minimum`.
+    // Whether a message may have the announced number of elements, of which `minimum` are required.
     bool allow_elements(std::int64_t count, std::int64_t minimum) const {
         return count >= minimum && count <= static_cast<std::int64_t>(max_elements);
     }
--- a/src/resp/reply_parser.cpp
+++ b/src/resp/reply_parser.cpp
@@ -29,7 +29,7 @@
     return ParseStatus::complete;
 }
 
-// Parses the part that the state names and moves to the next one.
+// Parses the element that the state names and moves to the next one.
 ParseStatus ReplyParser::advance(std::string_view bytes) {
     switch (state_) {
         case State::start:
@@ -105,7 +105,7 @@
     return accept(std::move(element));
 }
 
-// Takes a parsed element, which is the whole reply outside an array.
+// Stores a parsed element. Outside an array the element is the complete reply.
 ParseStatus ReplyParser::accept(Reply element) {
     if (reply_.type != ReplyType::array) {
         reply_ = std::move(element);
--- a/src/resp/reply_parser.h
+++ b/src/resp/reply_parser.h
@@ -1,5 +1,5 @@
-// Parses RESP2 replies as a client gets them: a status, error or integer line, a bulk string, or an
-// array of these without arrays in it. No I/O. Lengths are checked as CommandParser does.
+// Parses RESP2 replies as a client receives them: a status, error or integer line, a bulk string,
+// or an array of these (not nested). No I/O. Lengths are checked as in CommandParser.
 //
 //   start ──'*'──> array_header ──> element ──bulk header──> bulk_value ──> complete
 //     └──────other type──────────────▲ │ ▲                       │
@@ -21,12 +21,12 @@
   public:
     explicit ReplyParser(ParseLimits limits = {}) : limits_(limits) {}
 
-    // `bytes` begin with the reply being parsed; between two calls they only grow.
+    // `bytes` starts with the reply being parsed and may only grow between two calls.
     ParseStatus parse(std::string_view bytes);
-    // Ready for the next reply; the caller removes `consumed()` bytes first.
+    // Prepares for the next reply. The caller removes `consumed()` bytes before it parses that.
     void reset();
 
-    // Of a complete reply:
+    // Valid for a complete reply:
     std::size_t consumed() const { return position_; }
     Reply take() { return std::move(reply_); }
 
@@ -34,7 +34,7 @@
     enum class State {
         start,
         array_header,
-        element,  // of an array, or the whole reply
+        element,  // of an array, or the complete reply
         bulk_value,
         complete,
         malformed
@@ -51,7 +51,7 @@
 
     ParseLimits limits_;
     State state_ = State::start;
-    std::size_t position_ = 0;  // of the part that `state_` names
+    std::size_t position_ = 0;  // of the element that `state_` names
     std::size_t element_total_ = 0;
     std::size_t bulk_size_ = 0;
     Reply reply_;
--- a/src/resp/serializer.h
+++ b/src/resp/serializer.h
@@ -7,7 +7,7 @@
 
 namespace silverreach::resp {
 
-// The header of an array; its elements follow.
+// Appends the header of an array; the caller appends its elements.
 void append_array(std::string& out, std::size_t elements);
 void append_bulk(std::string& out, std::string_view value);
 
