--- a/src/frontend/common/client_connection.cpp
+++ b/src/frontend/common/client_connection.cpp
@@ -18,8 +18,9 @@
 [[gnu::no_sanitize("vptr")]] ClientConnection::~ClientConnection() = default;
 
 void ClientConnection::check_timeouts() {
-    constexpr std::array<Wait, 6> order{Wait::client_end, Wait::first_message, Wait::idle,
-                                        Wait::drain,      Wait::message_rest,  Wait::response_read};
+    constexpr std::array<Wait, 6> order{
+        Wait::client_close, Wait::first_message,      Wait::idle,
+        Wait::drain,        Wait::message_completion, Wait::response_read};
     if (stream_.closed()) return;
     const Micros now = loop_.now();
     for (const Wait wait : order) {
--- a/src/frontend/common/client_connection.h
+++ b/src/frontend/common/client_connection.h
@@ -25,12 +25,12 @@
     // What a connection can wait for. Each wait has a limit of its own; the limits are checked in
     // this order.
     enum class Wait {
-        client_end,     // while lingering, for the client to close its side
-        first_message,  // no complete message has been received yet
-        idle,           // between messages
-        drain,          // the connection closes once no response is pending
-        message_rest,   // for the rest of a message
-        response_read   // for the client to read what was written
+        client_close,        // while lingering, for the client to close its side
+        first_message,       // no complete message has been received yet
+        idle,                // between messages
+        drain,               // the connection closes once no response is pending
+        message_completion,  // for the rest of a message
+        response_read        // for the client to read what was written
     };
     // Connections with a higher value are evicted first.
     enum class EvictionPriority {
@@ -53,12 +53,12 @@
     virtual EvictionPriority eviction_priority() const { return EvictionPriority::none; }
     // Whether the connection can be closed without loss: it has no work in progress, and all
     // received bytes have been read. Costs a system call.
-    virtual bool at_rest() const { return false; }
+    virtual bool is_quiescent() const { return false; }
     virtual void evict() {}
     // Called for the connection that has lingered longest when too many are lingering.
     virtual void abort_lingering() {}
 
-    bool lingering() const { return lingering_; }  // stays true once closed
+    bool is_lingering() const { return lingering_; }  // stays true once closed
     // Whether the client has closed its side, even if the loop has not reported that yet.
     bool peer_closed() const { return stream_.peer_closed(); }
     Micros wait_started() const { return wait_started_; }
@@ -86,7 +86,7 @@
     // called once, when the connection is closed.
     void schedule_deletion();
 
-    // Starts the wait first_message, idle, message_rest or client_end.
+    // Starts the wait first_message, idle, message_completion or client_close.
     void start_wait(Micros now) { wait_started_ = now; }
 
     // The arrival times of the bytes that the protocol has not consumed.
--- a/src/frontend/common/connection_manager.cpp
+++ b/src/frontend/common/connection_manager.cpp
@@ -14,9 +14,10 @@
 }
 
 bool ConnectionManager::ensure_capacity() {
-    const std::size_t counted = connections_.size() - (policy_.max_lingering ? lingering_ : 0);
-    if (counted < policy_.max_connections) return true;
-    ClientConnection* candidate = policy_.evict_idle ? eviction_candidate() : nullptr;
+    const std::size_t counted_connections =
+        connections_.size() - (policy_.max_lingering ? lingering_ : 0);
+    if (counted_connections < policy_.max_connections) return true;
+    ClientConnection* candidate = policy_.evict_idle ? find_eviction_candidate() : nullptr;
     if (!candidate) {
         ++stats_.rejected;
         return false;
@@ -28,18 +29,18 @@
 
 // Prefers a connection without a complete message to an idle one, and among equals the one that has
 // waited longest.
-ClientConnection* ConnectionManager::eviction_candidate() const {
+ClientConnection* ConnectionManager::find_eviction_candidate() const {
     using Priority = ClientConnection::EvictionPriority;
     ClientConnection* best = nullptr;
     Priority best_priority = Priority::none;
     for (const auto& connection : connections_) {
         const Priority priority = connection->eviction_priority();
-        if (connection->lingering() || priority == Priority::none) continue;
+        if (connection->is_lingering() || priority == Priority::none) continue;
         const bool better =
             !best || priority > best_priority ||
             (priority == best_priority && connection->wait_started() < best->wait_started());
         if (!better) continue;
-        if (priority == Priority::idle && !connection->at_rest()) continue;
+        if (priority == Priority::idle && !connection->is_quiescent()) continue;
         best = connection.get();
         best_priority = priority;
     }
@@ -48,7 +49,7 @@
 
 bool ConnectionManager::close_idle() {
     if (lingering_ > 0) return true;
-    ClientConnection* candidate = eviction_candidate();
+    ClientConnection* candidate = find_eviction_candidate();
     if (candidate) candidate->evict();
     return candidate != nullptr;
 }
@@ -64,7 +65,7 @@
     if (!policy_.max_lingering || lingering_ <= *policy_.max_lingering) return;
     ClientConnection* longest = nullptr;
     for (const auto& other : connections_) {
-        if (!other->lingering() || other.get() == &connection) continue;
+        if (!other->is_lingering() || other.get() == &connection) continue;
         if (!longest || other->wait_started() < longest->wait_started()) longest = other.get();
     }
     (longest ? *longest : connection).abort_lingering();
@@ -72,7 +73,7 @@
 
 void ConnectionManager::remove(ClientConnection& connection) {
     const std::size_t slot = connection.slot_;
-    if (connection.lingering()) --lingering_;
+    if (connection.is_lingering()) --lingering_;
     deferred_deletion_.schedule(std::move(connections_[slot]));
     if (slot + 1 != connections_.size()) {
         connections_[slot] = std::move(connections_.back());
--- a/src/frontend/common/connection_manager.h
+++ b/src/frontend/common/connection_manager.h
@@ -86,7 +86,7 @@
   private:
     bool ensure_capacity();
     void accept(event::Fd fd, std::string client);
-    ClientConnection* eviction_candidate() const;
+    ClientConnection* find_eviction_candidate() const;
     void sweep();
 
     event::Loop& loop_;
--- a/src/frontend/common/drain_manager.h
+++ b/src/frontend/common/drain_manager.h
@@ -16,7 +16,7 @@
         draining_ = true;
         deadline_ = deadline;
     }
-    bool draining() const { return draining_; }
+    bool is_draining() const { return draining_; }
     // Returns the time until the deadline, negative after it; Micros::max() while serving.
     Micros time_remaining(Micros now) const { return draining_ ? deadline_ - now : Micros::max(); }
 
--- a/src/frontend/http/client_request.cpp
+++ b/src/frontend/http/client_request.cpp
@@ -20,23 +20,26 @@
     return request;
 }
 
-std::optional<Refusal> check_request(ClientRequest& request, const FrontendContext& context) {
+std::optional<LocalRejection> check_request(ClientRequest& request,
+                                            const FrontendContext& context) {
     if (auto error = context.resolver.resolve(request.head, *request.description, request.resolved))
-        return Refusal{std::move(*error), "bad-request"};
+        return LocalRejection{std::move(*error), "bad-request"};
     const auto& account = request.resolved.account;
     if (account && !context.callbacks.serves_account(*account))
-        return Refusal{{421, "Not of this instance", "the account is served by other instances"},
-                       "misdirected"};
-    if (request.head.has_length && request.head.length > max_body_bytes(context))
-        return Refusal{body_too_large(context), "bad-request"};
+        return LocalRejection{
+            {421, "Not of this instance", "the account is served by other instances"},
+            "misdirected"};
+    if (request.head.has_content_length && request.head.content_length > max_body_bytes(context))
+        return LocalRejection{body_too_large(context), "bad-request"};
     const std::string* expect = wire::find(request.head.fields, "Expect");
-    if (expect && !wire::same_name(*expect, "100-continue"))
-        return Refusal{{417, "Unknown expectation", "100-continue is the only one"}, "bad-request"};
+    if (expect && !wire::equals_ignore_case(*expect, "100-continue"))
+        return LocalRejection{{417, "Unknown expectation", "100-continue is the only one"},
+                              "bad-request"};
     return std::nullopt;
 }
 
 bool expects_continue(const wire::Head& head) {
-    const bool has_body = head.chunked || head.length > 0;
+    const bool has_body = head.chunked || head.content_length > 0;
     return wire::find(head.fields, "Expect") && has_body && head.minor >= 1;
 }
 
--- a/src/frontend/http/client_request.h
+++ b/src/frontend/http/client_request.h
@@ -31,7 +31,7 @@
 };
 
 // Why the front end answers a request without passing it to the core.
-struct Refusal {
+struct LocalRejection {
     RequestError error;
     std::string_view log_reason;
 };
@@ -40,7 +40,7 @@
 std::unique_ptr<ClientRequest> make_client_request(wire::Head& head, Micros received_at,
                                                    FrontendContext& context);
 // Resolves the request. Returns the reason if the request is rejected.
-std::optional<Refusal> check_request(ClientRequest& request, const FrontendContext& context);
+std::optional<LocalRejection> check_request(ClientRequest& request, const FrontendContext& context);
 // Whether the client waits for a 100 (Continue) response before it sends the body.
 bool expects_continue(const wire::Head& head);
 
--- a/src/frontend/http/frontend.cpp
+++ b/src/frontend/http/frontend.cpp
@@ -15,11 +15,11 @@
 }
 }  // namespace
 
-const std::string& DateCache::now() {
+const std::string& DateCache::current_text() {
     const std::time_t second = std::time(nullptr);
     if (second != second_) {
         second_ = second;
-        text_ = wire::date_text(second);
+        text_ = wire::format_http_date(second);
     }
     return text_;
 }
--- a/src/frontend/http/frontend_context.h
+++ b/src/frontend/http/frontend_context.h
@@ -43,7 +43,7 @@
 // The text of the Date field, formatted once a second.
 class DateCache {
   public:
-    const std::string& now();
+    const std::string& current_text();
 
   private:
     std::string text_;
@@ -59,7 +59,7 @@
     std::string via;     // this instance's name in the Via field
     RequestResolver resolver;
     event::SystemRandom random = {};  // for request and trace ids
-    DateCache date = {};
+    DateCache date_cache = {};
     std::unordered_map<RequestId, HttpConnection*> in_flight = {};
 };
 
--- a/src/frontend/http/http_connection.cpp
+++ b/src/frontend/http/http_connection.cpp
@@ -22,11 +22,11 @@
 }  // namespace
 
 HttpConnection::HttpConnection(FrontendContext& context, ConnectionManager& manager, event::Fd fd,
-                               std::string client, Micros waiting_since)
+                               std::string client_address, Micros waiting_since)
     : ClientConnection(manager, std::move(fd), waiting_since),
       context_(context),
       parser_(wire::Parser::Kind::request, *this, head_limits(context.config.listen())),
-      client_(std::move(client)) {
+      client_address_(std::move(client_address)) {
     check_timeouts_periodically();
 }
 
@@ -35,15 +35,15 @@
 void HttpConnection::on_data(std::string_view bytes) {
     if (!accepts_input()) return;
     arrivals().add(bytes.size(), stream().arrived());
-    if (!reading() || !pending_.empty()) {
-        pending_.append(bytes);
-        if (pending_.size() > max_pending_bytes) stream().read(false);
-        if (reading()) process_pending();
+    if (!is_reading() || !pending_input_.empty()) {
+        pending_input_.append(bytes);
+        if (pending_input_.size() > max_pending_bytes) stream().read(false);
+        if (is_reading()) process_pending();
         return;
     }
     const std::size_t consumed = feed_parser(bytes);
     // Bytes after the end of this request belong to the next one.
-    if (accepts_input() && consumed < bytes.size()) pending_.append(bytes.substr(consumed));
+    if (accepts_input() && consumed < bytes.size()) pending_input_.append(bytes.substr(consumed));
     forward_if_complete();
 }
 
@@ -57,25 +57,26 @@
 }
 
 void HttpConnection::process_pending() {
-    while (reading() && !pending_.empty()) {
-        const std::string bytes = std::exchange(pending_, {});
+    while (is_reading() && !pending_input_.empty()) {
+        const std::string bytes = std::exchange(pending_input_, {});
         const std::size_t consumed = feed_parser(bytes);
         if (!accepts_input()) return;
-        pending_.assign(bytes, consumed);
+        pending_input_.assign(bytes, consumed);
         if (request_ && request_->body_complete)
             forward_if_complete();
         else if (consumed == 0)
             break;
     }
     if (state_ == State::closed) return;
-    if (pending_.size() <= max_pending_bytes && state_ != State::lingering) stream().read(true);
-    if (half_closed_ && reading()) close();
+    if (pending_input_.size() <= max_pending_bytes && state_ != State::lingering)
+        stream().read(true);
+    if (half_closed_ && is_reading()) close();
 }
 
 bool HttpConnection::on_head(wire::Head& head) {
     request_ = make_client_request(head, wait_started(), context_);
-    if (const auto refusal = check_request(*request_, context_)) {
-        reply_locally(local_reply(refusal->error), refusal->log_reason);
+    if (const auto rejection = check_request(*request_, context_)) {
+        reply_locally(local_reply(rejection->error), rejection->log_reason);
         return false;
     }
     if (expects_continue(request_->head)) stream().write("HTTP/1.1 100 Continue\r\n\r\n");
@@ -113,8 +114,9 @@
 void HttpConnection::forward_request() {
     state_ = State::awaiting_response;
     const Micros now = loop().now();
-    request_->upstream = make_upstream_request(*request_, client_, context_.via);
-    const core::ClientRequest core_request = make_core_request(*request_, client_, context_, now);
+    request_->upstream = make_upstream_request(*request_, client_address_, context_.via);
+    const core::ClientRequest core_request =
+        make_core_request(*request_, client_address_, context_, now);
     const RequestId id = request_->id = context_.core.next_id();
     context_.in_flight[id] = this;
     context_.core.start_request(now, id, core_request);
@@ -130,7 +132,7 @@
     ClientRequest& request = *request_;
     // The rest of a body that was not read completely would be parsed as the next request.
     if (!request.body_complete || is_last_response()) request.client.keep_alive = false;
-    request.client.date = context_.date.now();
+    request.client.date = context_.date_cache.current_text();
     stream().write(serialize(reply, request.client, request.identity.request_id));
     log_access(reply.status, log_reason);
     finish_exchange();
@@ -148,7 +150,7 @@
     state_ = State::streaming_response;
     last_progress_ = loop().now();
     request.response_status = head.status;
-    request.client.date = context_.date.now();
+    request.client.date = context_.date_cache.current_text();
     if (is_last_response()) request.client.keep_alive = false;
     Framing framing = Framing::none;
     const std::string translated = response_head_for_client(
@@ -184,7 +186,7 @@
 
 // While draining, a response is the last one if no further request has been received.
 bool HttpConnection::is_last_response() const {
-    return manager().drain().draining() && pending_.empty() && !stream().unread();
+    return manager().drain().is_draining() && pending_input_.empty() && !stream().unread();
 }
 
 void HttpConnection::finish_exchange() {
@@ -196,17 +198,17 @@
     if (!keep_alive) return linger();
     state_ = State::reading_head;
     parser_.next();
-    if (pending_.empty() && !half_closed_) return;
+    if (pending_input_.empty() && !half_closed_) return;
     // Deferred because processing the next request within the call that delivered the response
     // would let a client nest calls without limit.
     call_later(0us, [this] {
-        if (reading()) process_pending();
+        if (is_reading()) process_pending();
     });
 }
 
 void HttpConnection::linger() {
     state_ = State::lingering;
-    pending_.clear();
+    pending_input_.clear();
     start_lingering_close();
     if (half_closed_ && stream().queued() == 0) close();
 }
@@ -219,17 +221,19 @@
         if (stream().queued() == 0) close();
         return;
     }
-    if (state_ == State::reading_head && pending_.empty()) return close();
-    const bool waits_on = context_.config.listen().half_closed() == config::Listen::ANSWER;
-    if (waits_on && !reading()) return;
+    if (state_ == State::reading_head && pending_input_.empty()) return close();
+    const bool answers_half_closed =
+        context_.config.listen().half_closed() == config::Listen::ANSWER;
+    if (answers_half_closed && !is_reading()) return;
     disconnect();
 }
 
 void HttpConnection::check_client_connected() {
     // If clients may close their side and still wait for the response, a closed side does not mean
     // that the client has disconnected.
-    const bool may_wait_on = context_.config.listen().half_closed() == config::Listen::ANSWER;
-    if (may_wait_on || state_ == State::closed || !peer_closed()) return;
+    const bool answers_half_closed =
+        context_.config.listen().half_closed() == config::Listen::ANSWER;
+    if (answers_half_closed || state_ == State::closed || !peer_closed()) return;
     disconnect();
 }
 
@@ -261,27 +265,27 @@
 bool HttpConnection::has_unfinished_work() const {
     if (state_ == State::closed) return false;
     if (state_ == State::lingering) return stream().queued() > 0;
-    return !reading() || receiving() || !pending_.empty() || stream().queued() > 0 ||
+    return !is_reading() || is_receiving() || !pending_input_.empty() || stream().queued() > 0 ||
            stream().unread();
 }
 
 // ---- timeouts -------------------------------------------------------------------------------
 
-bool HttpConnection::receiving() const {
+bool HttpConnection::is_receiving() const {
     return state_ == State::reading_body || (state_ == State::reading_head && !parser_.idle());
 }
 
 std::optional<ClientConnection::PendingWait> HttpConnection::pending_wait(Wait wait) const {
     const config::Listen& listen = context_.config.listen();
     switch (wait) {
-        case Wait::client_end:
+        case Wait::client_close:
             if (state_ != State::lingering) return std::nullopt;
             return PendingWait{wait_started(), linger_timeout};
         case Wait::idle:
-            if (!reading() || receiving()) return std::nullopt;
+            if (!is_reading() || is_receiving()) return std::nullopt;
             return PendingWait{wait_started(), milliseconds(listen.idle_ms())};
-        case Wait::message_rest:
-            if (!receiving()) return std::nullopt;
+        case Wait::message_completion:
+            if (!is_receiving()) return std::nullopt;
             return PendingWait{
                 wait_started(),
                 milliseconds(state_ == State::reading_body ? listen.body_ms() : listen.head_ms())};
@@ -297,11 +301,11 @@
 
 bool HttpConnection::on_wait_expired(Wait wait) {
     switch (wait) {
-        case Wait::client_end:
+        case Wait::client_close:
         case Wait::idle:
             close();
             return true;
-        case Wait::message_rest:
+        case Wait::message_completion:
             on_fault({408, state_ == State::reading_body ? "the body did not come in time"
                                                          : "the head did not come in time"});
             return true;
@@ -323,7 +327,7 @@
     if (state_ == State::closed) return;
     const config::Listen& listen = context_.config.listen();
     Micros period = min_check_period;
-    if (reading() && !receiving())
+    if (is_reading() && !is_receiving())
         period =
             std::max<Micros>(period, milliseconds(std::min(listen.idle_ms(), listen.head_ms())) /
                                          idle_checks_per_timeout);
@@ -334,7 +338,7 @@
 
 void HttpConnection::log_access(int status, std::string_view reason) {
     context_.callbacks.log_access(
-        make_access_log_entry(*request_, client_, status, reason, loop().now()));
+        make_access_log_entry(*request_, client_address_, status, reason, loop().now()));
 }
 
 }  // namespace silverreach::frontend::http
--- a/src/frontend/http/http_connection.h
+++ b/src/frontend/http/http_connection.h
@@ -23,9 +23,9 @@
 
 class HttpConnection final : public ClientConnection, private wire::Parser::Events {
   public:
-    // `context` must outlive the connection; `client`: its address.
+    // `context` must outlive the connection; `client_address`: its address.
     HttpConnection(FrontendContext& context, ConnectionManager& manager, event::Fd fd,
-                   std::string client, Micros waiting_since);
+                   std::string client_address, Micros waiting_since);
 
     // ---- operations on the request in flight (see Frontend); ignored in other states ----
     std::shared_ptr<const upstream_http::OutRequest> upstream_request() const;
@@ -67,8 +67,10 @@
     void on_fault(const wire::Fault& fault) override;
 
     // ---- requests ----
-    bool reading() const { return state_ == State::reading_head || state_ == State::reading_body; }
-    bool receiving() const;  // a request has begun and is not complete
+    bool is_reading() const {
+        return state_ == State::reading_head || state_ == State::reading_body;
+    }
+    bool is_receiving() const;  // a request has begun and is not complete
     bool accepts_input() const { return state_ != State::lingering && state_ != State::closed; }
     std::size_t feed_parser(std::string_view bytes);
     void process_pending();
@@ -87,11 +89,11 @@
 
     FrontendContext& context_;
     wire::Parser parser_;
-    std::string client_;
+    std::string client_address_;
     State state_ = State::reading_head;
-    std::string pending_;       // bytes of later requests
-    Micros last_progress_{0};   // when the client last read response bytes
-    bool half_closed_ = false;  // by the client
+    std::string pending_input_;  // bytes of later requests
+    Micros last_progress_{0};    // when the client last read response bytes
+    bool half_closed_ = false;   // by the client
     // Allocated separately so that an idle connection stays small.
     std::unique_ptr<ClientRequest> request_;
 };
--- a/src/frontend/http/local_reply.cpp
+++ b/src/frontend/http/local_reply.cpp
@@ -38,11 +38,12 @@
 
 // Rounds up so that a client that retries at that time is not too early.
 void append_retry_after(std::string& out, Micros retry_after) {
-    const auto seconds = std::chrono::ceil<std::chrono::seconds>(retry_after).count();
-    append_field(out, "Retry-After", fmt::format_int(std::max<std::int64_t>(seconds, 0)).c_str());
+    const auto retry_after_seconds = std::chrono::ceil<std::chrono::seconds>(retry_after).count();
+    append_field(out, "Retry-After",
+                 fmt::format_int(std::max<std::int64_t>(retry_after_seconds, 0)).c_str());
     if (retry_after <= Micros(0)) return;
-    const auto ms = std::chrono::ceil<std::chrono::milliseconds>(retry_after).count();
-    append_field(out, "Retry-After-Ms", fmt::format_int(ms).c_str());
+    const auto retry_after_ms = std::chrono::ceil<std::chrono::milliseconds>(retry_after).count();
+    append_field(out, "Retry-After-Ms", fmt::format_int(retry_after_ms).c_str());
 }
 
 bool shows_retry_after(int status) {
--- a/src/frontend/http/message_translation.cpp
+++ b/src/frontend/http/message_translation.cpp
@@ -9,7 +9,7 @@
 
 namespace silverreach::frontend::http {
 namespace {
-constexpr std::size_t usual_head_bytes = 512;
+constexpr std::size_t initial_head_bytes = 512;
 
 std::string quote_address(const std::string& address) {
     return address.find(':') == std::string::npos ? address : "\"[" + address + "]\"";
@@ -19,19 +19,20 @@
 std::string list_prefix(const wire::Fields& fields, std::string_view name) {
     std::string prefix;
     for (const wire::Field& field : fields)
-        if (wire::same_name(field.name, name)) prefix += field.value + ", ";
+        if (wire::equals_ignore_case(field.name, name)) prefix += field.value + ", ";
     return prefix;
 }
 
 // Appends the end-to-end fields except `dropped`, most of which the gateway sets itself.
-// `connection`: the options of the head's Connection field.
+// `connection_options`: the options of the head's Connection field.
 void append_end_to_end(std::string& out, const wire::Fields& fields,
-                       const std::vector<std::string_view>& connection,
+                       const std::vector<std::string_view>& connection_options,
                        std::span<const std::string_view> dropped) {
     for (const wire::Field& field : fields) {
-        const bool is_dropped = std::ranges::any_of(
-            dropped, [&](std::string_view name) { return wire::same_name(field.name, name); });
-        if (!is_dropped && !wire::hop_by_hop(connection, field.name))
+        const bool is_dropped = std::ranges::any_of(dropped, [&](std::string_view name) {
+            return wire::equals_ignore_case(field.name, name);
+        });
+        if (!is_dropped && !wire::is_hop_by_hop(connection_options, field.name))
             append_field(out, field.name, field.value);
     }
 }
@@ -47,7 +48,7 @@
 
 Framing framing_of(const wire::Head& head, const ClientCapabilities& client) {
     if (client.head_method || has_no_body(head.status)) return Framing::none;
-    if (head.has_length) return Framing::length;
+    if (head.has_content_length) return Framing::content_length;
     return client.minor >= 1 ? Framing::chunked : Framing::until_close;
 }
 }  // namespace
@@ -85,12 +86,12 @@
         "Via",    "Forwarded",    "Host",        "Content-Length",
         "Expect", "X-Request-Id", "traceparent", "Silverreach-Attempt"};
     std::string out;
-    out.reserve(usual_head_bytes);
+    out.reserve(initial_head_bytes);
     out.append(head.method).append(" ").append(path).append(" HTTP/1.1\r\n");
     const std::string* host = wire::find(head.fields, "Host");
     append_field(out, "Host", host ? *host : "");
     append_end_to_end(out, head.fields, wire::connection_options(head.fields), dropped);
-    if (body_bytes > 0 || head.chunked || head.has_length)
+    if (body_bytes > 0 || head.chunked || head.has_content_length)
         append_field(out, "Content-Length", fmt::format_int(body_bytes).c_str());
     append_via(out, head, via);
     append_field(out, "Forwarded",
@@ -109,7 +110,7 @@
                                                       "endpoint-load-metrics", "Content-Length"};
     framing = framing_of(head, client);
     std::string out;
-    out.reserve(usual_head_bytes);
+    out.reserve(initial_head_bytes);
     out += fmt::format("HTTP/1.1 {} {}\r\n", head.status, wire::reason_phrase(head.status));
     append_end_to_end(
         out, head.fields, wire::connection_options(head.fields),
--- a/src/frontend/http/message_translation.h
+++ b/src/frontend/http/message_translation.h
@@ -28,7 +28,7 @@
 
 // How the client recognizes the end of a response's body.
 enum class Framing {
-    length,
+    content_length,
     chunked,
     until_close,
     none  // there is no body
--- a/src/frontend/http/request_parameters.cpp
+++ b/src/frontend/http/request_parameters.cpp
@@ -37,14 +37,14 @@
     constexpr std::string_view bearer = "bearer ";
     std::vector<std::string> values;
     for (const wire::Field& field : fields) {
-        if (!wire::same_name(field.name, carrier.name)) continue;
+        if (!wire::equals_ignore_case(field.name, carrier.name)) continue;
         if (!carrier.bearer) {
             values.push_back(field.value);
             continue;
         }
-        const bool is_bearer =
-            field.value.size() > bearer.size() &&
-            wire::same_name(std::string_view(field.value).substr(0, bearer.size()), bearer);
+        const bool is_bearer = field.value.size() > bearer.size() &&
+                               wire::equals_ignore_case(
+                                   std::string_view(field.value).substr(0, bearer.size()), bearer);
         if (is_bearer) values.push_back(field.value.substr(bearer.size()));
     }
     return values;
@@ -64,16 +64,16 @@
     if (const std::size_t scheme_end = target.find("://");
         scheme_end != std::string_view::npos && target.front() != '/') {
         const std::string_view scheme = target.substr(0, scheme_end);
-        if (!wire::same_name(scheme, "http") && !wire::same_name(scheme, "https"))
+        if (!wire::equals_ignore_case(scheme, "http") && !wire::equals_ignore_case(scheme, "https"))
             return std::nullopt;
         const std::size_t path = target.find_first_of("/?", scheme_end + 3);
         target = path == std::string_view::npos ? std::string_view("/") : target.substr(path);
     }
     if (target.empty() || target.front() != '/') return std::nullopt;
     if (target.find('#') != std::string_view::npos) return std::nullopt;
-    const std::size_t mark = target.find('?');
-    Target parts{target.substr(0, mark), {}, mark != std::string_view::npos};
-    if (parts.has_query) parts.query = target.substr(mark + 1);
+    const std::size_t query_start = target.find('?');
+    Target parts{target.substr(0, query_start), {}, query_start != std::string_view::npos};
+    if (parts.has_query) parts.query = target.substr(query_start + 1);
     return parts;
 }
 
@@ -92,7 +92,7 @@
 std::vector<std::string> cookie_values(const wire::Fields& fields, std::string_view name) {
     std::vector<std::string> values;
     for (const wire::Field& field : fields) {
-        if (!wire::same_name(field.name, "Cookie")) continue;
+        if (!wire::equals_ignore_case(field.name, "Cookie")) continue;
         std::string_view rest = field.value;
         while (!rest.empty()) {
             std::string_view pair = next_element(rest, ';');
--- a/src/frontend/http/request_resolver.cpp
+++ b/src/frontend/http/request_resolver.cpp
@@ -48,7 +48,7 @@
                                                          "Content-Length"};
     for (const std::string_view option : wire::connection_options(fields))
         for (const std::string_view name : end_to_end)
-            if (wire::same_name(option, name))
+            if (wire::equals_ignore_case(option, name))
                 return bad_request("Bad Connection field",
                                    "it names a field that is meant for the host");
     return std::nullopt;
@@ -61,7 +61,7 @@
 
 std::optional<RequestError> RequestResolver::resolve(const wire::Head& head,
                                                      const openapi::Description& description,
-                                                     ResolvedRequest& into) const {
+                                                     ResolvedRequest& resolved) const {
     const auto method = openapi::method_of(head.method);
     if (!method)
         return RequestError{501, "Unknown method",
@@ -75,20 +75,20 @@
     if (!found.route)
         return RequestError{405, "Method not allowed",
                             "the description has the path with other methods", found.allowed};
-    into.route = found.route;
-    if (auto error = resolve_class(head, into)) return error;
-    if (auto error = resolve_account(head, target->query, into)) return error;
-    if (auto error = resolve_units(head, target->query, found, into)) return error;
-    if (auto error = resolve_deadline(head, into)) return error;
-    into.path = std::string(target->path);
-    if (target->has_query) into.path.append("?").append(target->query);
+    resolved.route = found.route;
+    if (auto error = resolve_class(head, resolved)) return error;
+    if (auto error = resolve_account(head, target->query, resolved)) return error;
+    if (auto error = resolve_units(head, target->query, found, resolved)) return error;
+    if (auto error = resolve_deadline(head, resolved)) return error;
+    resolved.path = std::string(target->path);
+    if (target->has_query) resolved.path.append("?").append(target->query);
     return std::nullopt;
 }
 
 std::optional<RequestError> RequestResolver::resolve_class(const wire::Head& head,
-                                                           ResolvedRequest& into) const {
+                                                           ResolvedRequest& resolved) const {
     if (auto error = check_connection_field(head.fields)) return error;
-    const openapi::Route& route = *into.route;
+    const openapi::Route& route = *resolved.route;
     const std::string* key = wire::find(head.fields, "Idempotency-Key");
     if (!key && route.key_required)
         return bad_request("Missing Idempotency-Key", "the operation requires it");
@@ -96,8 +96,8 @@
     Idempotency idempotency = route.effect;
     if (idempotency == Idempotency::idempotency_key && (!key || key->empty()))
         idempotency = Idempotency::non_idempotent;
-    into.request_class = config::class_index(config_, route.request_class, idempotency);
-    if (into.request_class < 0) return RequestError{500, "Unknown class", route.request_class};
+    resolved.request_class = config::class_index(config_, route.request_class, idempotency);
+    if (resolved.request_class < 0) return RequestError{500, "Unknown class", route.request_class};
     return std::nullopt;
 }
 
@@ -105,28 +105,28 @@
 // identify no account.
 std::optional<RequestError> RequestResolver::resolve_account(const wire::Head& head,
                                                              std::string_view query,
-                                                             ResolvedRequest& into) const {
+                                                             ResolvedRequest& resolved) const {
     std::set<std::string> keys;
-    for (const Carrier& carrier : into.route->keys)
+    for (const Carrier& carrier : resolved.route->keys)
         for (std::string& value : parameter_values(carrier, head, query, nullptr))
             keys.insert(std::move(value));
-    if (keys.empty() && into.route->anonymous) return std::nullopt;
+    if (keys.empty() && resolved.route->anonymous) return std::nullopt;
     if (keys.empty()) return key_error("Key missing", "the operation needs an account's key");
     if (keys.size() > 1)
         return key_error("More than one key", "the request carries different keys");
     auto found = accounts_.by_key(*keys.begin());
     if (!found.account) return key_error("Key not served", found.why);
-    into.account = std::move(found.account);
+    resolved.account = std::move(found.account);
     return std::nullopt;
 }
 
 std::optional<RequestError> RequestResolver::resolve_units(const wire::Head& head,
                                                            std::string_view query,
                                                            const openapi::RouteTable::Found& found,
-                                                           ResolvedRequest& into) const {
-    into.units = into.route->units;
-    if (!into.route->units_from) return std::nullopt;
-    const Carrier& carrier = *into.route->units_from;
+                                                           ResolvedRequest& resolved) const {
+    resolved.units = resolved.route->units;
+    if (!resolved.route->units_from) return std::nullopt;
+    const Carrier& carrier = *resolved.route->units_from;
     const auto values = parameter_values(carrier, head, query, &found);
     if (values.empty()) return std::nullopt;
     const auto value = parse_number<double>(values.front());
@@ -136,13 +136,14 @@
         return bad_request("Bad units",
                            fmt::format("{} {}: expected one number from 0 to {}",
                                        to_string(carrier.place), carrier.name, max_units));
-    into.units = *value;
+    resolved.units = *value;
     return std::nullopt;
 }
 
 std::optional<RequestError> RequestResolver::resolve_deadline(const wire::Head& head,
-                                                              ResolvedRequest& into) const {
-    into.deadline = milliseconds(config::class_at(config_, into.request_class).deadline_ms());
+                                                              ResolvedRequest& resolved) const {
+    resolved.deadline =
+        milliseconds(config::class_at(config_, resolved.request_class).deadline_ms());
     if (!config_.listen().has_deadline_header()) return std::nullopt;
     const std::string& name = config_.listen().deadline_header();
     const std::string* field = wire::find(head.fields, name);
@@ -151,7 +152,7 @@
     if (!deadline_ms || *deadline_ms < 0)
         return bad_request("Bad deadline", fmt::format("{}: expected whole milliseconds", name));
     const milliseconds requested(std::min(*deadline_ms, max_deadline_ms));
-    into.deadline = std::min<Micros>(into.deadline, requested);
+    resolved.deadline = std::min<Micros>(resolved.deadline, requested);
     return std::nullopt;
 }
 
--- a/src/frontend/http/request_resolver.h
+++ b/src/frontend/http/request_resolver.h
@@ -39,21 +39,22 @@
   public:
     RequestResolver(const config::Config& config, config::AccountBook& accounts)
         : config_(config), accounts_(accounts) {}
-    // Fills `into`, or returns the request's error; `into` then holds what was resolved before the
-    // error. `description` must outlive `into`.
+    // Fills `resolved`, or returns the request's error; `resolved` then holds what was resolved
+    // before the error. `description` must outlive `resolved`.
     std::optional<RequestError> resolve(const wire::Head& head,
                                         const openapi::Description& description,
-                                        ResolvedRequest& into) const;
+                                        ResolvedRequest& resolved) const;
 
   private:
-    std::optional<RequestError> resolve_class(const wire::Head& head, ResolvedRequest& into) const;
+    std::optional<RequestError> resolve_class(const wire::Head& head,
+                                              ResolvedRequest& resolved) const;
     std::optional<RequestError> resolve_account(const wire::Head& head, std::string_view query,
-                                                ResolvedRequest& into) const;
+                                                ResolvedRequest& resolved) const;
     std::optional<RequestError> resolve_units(const wire::Head& head, std::string_view query,
                                               const openapi::RouteTable::Found& found,
-                                              ResolvedRequest& into) const;
+                                              ResolvedRequest& resolved) const;
     std::optional<RequestError> resolve_deadline(const wire::Head& head,
-                                                 ResolvedRequest& into) const;
+                                                 ResolvedRequest& resolved) const;
 
     const config::Config& config_;
     config::AccountBook& accounts_;
--- a/src/frontend/resp/invalid_command_throttle.cpp
+++ b/src/frontend/resp/invalid_command_throttle.cpp
@@ -5,14 +5,14 @@
 namespace silverreach::frontend::resp {
 namespace {
 using namespace std::chrono_literals;
-constexpr int free_commands = 8;
+constexpr int unthrottled_commands = 8;
 constexpr Micros pause_step = 20ms;
-constexpr int max_steps = 25;
+constexpr int max_pause_steps = 25;
 }  // namespace
 
 Micros InvalidCommandThrottle::on_invalid() {
     ++consecutive_;
-    return pause_step * std::clamp(consecutive_ - free_commands, 0, max_steps);
+    return pause_step * std::clamp(consecutive_ - unthrottled_commands, 0, max_pause_steps);
 }
 
 }  // namespace silverreach::frontend::resp
--- a/src/frontend/resp/resp_connection.cpp
+++ b/src/frontend/resp/resp_connection.cpp
@@ -21,8 +21,8 @@
 constexpr std::size_t max_unread_bytes = std::size_t{256} * 1024;
 constexpr std::size_t max_discarded_bytes = std::size_t{256} * 1024;
 constexpr std::size_t max_read_ahead_bytes = std::size_t{32} * 1024;
-constexpr std::size_t unbudgeted_bytes = 4096;     // per connection, regardless of the budget
-constexpr std::size_t idle_input_capacity = 4096;  // bytes that an empty buffer keeps allocated
+constexpr std::size_t guaranteed_input_bytes = 4096;  // per connection, regardless of the budget
+constexpr std::size_t idle_input_capacity = 4096;     // bytes that an empty buffer keeps allocated
 }  // namespace
 
 RespConnection::RespConnection(FrontendContext& context, ConnectionManager& manager, event::Fd fd,
@@ -83,10 +83,10 @@
     flush();
     if (state_ == State::closed) return;
     // flush may have removed the reason for stopping, and no other event would resume reading.
-    const bool resume_later =
-        result == ReadResult::turn_used || (result == ReadResult::no_capacity && !must_wait());
-    const bool incomplete = !resume_later && !must_wait();
-    if (incomplete && context_.buffer_budget.exceeded() && input_.size() > unbudgeted_bytes)
+    const bool resume_later = result == ReadResult::turn_limit_reached ||
+                              (result == ReadResult::no_capacity && !must_defer_commands());
+    const bool incomplete = !resume_later && !must_defer_commands();
+    if (incomplete && context_.buffer_budget.exceeded() && input_.size() > guaranteed_input_bytes)
         return fail("too much in hand");
     update_reading();
     if (resume_later) call_later(0us, [this] { resume(); });
@@ -96,8 +96,8 @@
 RespConnection::ReadResult RespConnection::read_batch(std::size_t& consumed) {
     std::string_view rest = input_;
     for (std::size_t n = 0; state_ == State::open && !rest.empty(); ++n) {
-        if (must_wait()) return ReadResult::no_capacity;
-        if (n == max_commands_per_turn) return ReadResult::turn_used;
+        if (must_defer_commands()) return ReadResult::no_capacity;
+        if (n == max_commands_per_turn) return ReadResult::turn_limit_reached;
         const wire::ParseStatus status = parser_.parse(rest);
         if (status == wire::ParseStatus::incomplete) break;
         if (status == wire::ParseStatus::malformed) {
@@ -106,12 +106,12 @@
             break;
         }
         ++commands_;
-        std::vector<std::string_view> words;
+        std::vector<std::string_view> arguments;
         for (std::size_t i = 0; i < parser_.argument_count(); ++i)
-            words.push_back(parser_.argument(rest, i));
+            arguments.push_back(parser_.argument(rest, i));
         consumed += parser_.consumed();
         const Micros now = loop().now();
-        handle_command(words, now - arrivals().time_of(consumed, now));
+        handle_command(arguments, now - arrivals().time_of(consumed, now));
         rest = std::string_view(input_).substr(consumed);
         parser_.reset();
     }
@@ -131,7 +131,7 @@
         incomplete_since_ = loop().now();
 }
 
-bool RespConnection::must_wait() const {
+bool RespConnection::must_defer_commands() const {
     return throttled_ || responses_.size() >= max_responses ||
            stream().queued() >= max_unread_bytes;
 }
@@ -140,17 +140,18 @@
 // commands, but not while all connections together exceed the buffer budget.
 void RespConnection::update_reading() {
     std::size_t max_buffered = wire::ParseLimits{}.max_message_bytes;
-    if (must_wait()) max_buffered = context_.buffer_budget.exceeded() ? 0 : max_read_ahead_bytes;
+    if (must_defer_commands())
+        max_buffered = context_.buffer_budget.exceeded() ? 0 : max_read_ahead_bytes;
     stream().read(input_.size() <= max_buffered);
 }
 
-void RespConnection::handle_command(const std::vector<std::string_view>& words, Micros waited) {
-    const std::string_view command = words.front();
-    if (platform::CommandValidator::is_request(command)) return start_request(words, waited);
-    if (command == "PING" && words.size() == 1) return responses_.add_ready("+PONG\r\n");
-    if (command == "PING" && words.size() == 2) {
+void RespConnection::handle_command(const std::vector<std::string_view>& arguments, Micros waited) {
+    const std::string_view command = arguments.front();
+    if (platform::CommandValidator::is_request(command)) return start_request(arguments, waited);
+    if (command == "PING" && arguments.size() == 1) return responses_.add_ready("+PONG\r\n");
+    if (command == "PING" && arguments.size() == 2) {
         std::string response;
-        wire::append_bulk(response, words[1]);
+        wire::append_bulk(response, arguments[1]);
         return responses_.add_ready(std::move(response));
     }
     if (command == "CLIENT" || command == "SELECT") return responses_.add_ready("+OK\r\n");
@@ -158,8 +159,8 @@
 }
 
 // `waited`: the time since the command's last byte arrived.
-void RespConnection::start_request(const std::vector<std::string_view>& words, Micros waited) {
-    platform::Request request = context_.validator.validate(words);
+void RespConnection::start_request(const std::vector<std::string_view>& arguments, Micros waited) {
+    platform::Request request = context_.validator.validate(arguments);
     if (!request.error.empty()) return reject_command(request.error);
     if (context_.requests.has_client_id(request.id))
         return reject_command("id: a request of that name is open");
@@ -176,7 +177,7 @@
     context_.core.start_request(context_.clock(), id, request.attempt);
 }
 
-void RespConnection::reject_command(std::string_view why) {
+void RespConnection::reject_command(std::string_view reason) {
     ++context_.counters.invalid_commands;
     const Micros pause = throttle_.on_invalid();
     if (pause > 0us && !throttled_) {
@@ -186,7 +187,7 @@
             resume();
         });
     }
-    responses_.add_ready("-ERR " + std::string(why) + "\r\n");
+    responses_.add_ready("-ERR " + std::string(reason) + "\r\n");
 }
 
 // ---- responses ------------------------------------------------------------------------------
@@ -212,12 +213,12 @@
         unread_since_ = 0us;
     else if (unread_since_ == 0us)
         unread_since_ = loop().now();
-    if (drained()) linger(end_reason());
+    if (is_drained()) linger(end_reason());
 }
 
 void RespConnection::on_drained() {
     unread_since_ = 0us;
-    if (drained()) return linger(end_reason());
+    if (is_drained()) return linger(end_reason());
     if (!input_.empty())
         resume();
     else
@@ -227,9 +228,9 @@
 // ---- timeouts -------------------------------------------------------------------------------
 
 std::optional<ClientConnection::PendingWait> RespConnection::pending_wait(Wait wait) const {
-    if ((state_ == State::lingering) != (wait == Wait::client_end)) return std::nullopt;
+    if ((state_ == State::lingering) != (wait == Wait::client_close)) return std::nullopt;
     switch (wait) {
-        case Wait::client_end:
+        case Wait::client_close:
             return PendingWait{wait_started(), linger_timeout};
         case Wait::first_message:
             if (!responses_.empty() || commands_ > 0) return std::nullopt;
@@ -238,9 +239,9 @@
             if (!responses_.empty() || commands_ == 0) return std::nullopt;
             return PendingWait{wait_started(), idle_timeout};
         case Wait::drain:
-            if (!drained()) return std::nullopt;
+            if (!is_drained()) return std::nullopt;
             return PendingWait{loop().now(), 0us};
-        case Wait::message_rest: {
+        case Wait::message_completion: {
             // Does not apply while complete commands wait to be handled.
             const bool may_read =
                 state_ == State::open && !throttled_ && responses_.size() < max_responses;
@@ -256,7 +257,7 @@
 
 bool RespConnection::on_wait_expired(Wait wait) {
     switch (wait) {
-        case Wait::client_end:
+        case Wait::client_close:
             close(CloseReason::linger_over);
             return true;
         case Wait::first_message:
@@ -264,13 +265,13 @@
             linger(CloseReason::no_command);
             return true;
         case Wait::idle:
-            if (!at_rest()) return false;
+            if (!is_quiescent()) return false;
             linger(CloseReason::idle);
             return true;
         case Wait::drain:
             linger(end_reason());
             return true;
-        case Wait::message_rest:
+        case Wait::message_completion:
             ++context_.counters.protocol_errors;
             fail("a command not finished in time");
             return true;
@@ -283,35 +284,35 @@
 
 // ---- closing --------------------------------------------------------------------------------
 
-bool RespConnection::idle() const {
+bool RespConnection::is_idle() const {
     return responses_.empty() && input_.empty() && stream().queued() == 0;
 }
 
-bool RespConnection::at_rest() const {
-    return idle() && !stream().unread();
+bool RespConnection::is_quiescent() const {
+    return is_idle() && !stream().unread();
 }
 
 ClientConnection::EvictionPriority RespConnection::eviction_priority() const {
     if (commands_ == 0 && responses_.empty()) return EvictionPriority::no_message;
-    return idle() ? EvictionPriority::idle : EvictionPriority::none;
+    return is_idle() ? EvictionPriority::idle : EvictionPriority::none;
 }
 
 // Whether no response is pending and the connection must end.
-bool RespConnection::drained() const {
+bool RespConnection::is_drained() const {
     if (state_ == State::lingering) return false;
     if (!responses_.empty() || stream().queued() > 0) return false;
     if (state_ == State::failing) return true;
     const DrainManager& drain = manager().drain();
-    return drain.draining() && (at_rest() || drain.time_remaining(loop().now()) <= 0us);
+    return drain.is_draining() && (is_quiescent() || drain.time_remaining(loop().now()) <= 0us);
 }
 
 CloseReason RespConnection::end_reason() const {
     return state_ == State::failing ? CloseReason::protocol_error : CloseReason::draining;
 }
 
-void RespConnection::fail(std::string_view why) {
+void RespConnection::fail(std::string_view reason) {
     // The responses to earlier commands are sent first.
-    responses_.add_ready("-ERR Protocol error: " + std::string(why) + "\r\n");
+    responses_.add_ready("-ERR Protocol error: " + std::string(reason) + "\r\n");
     state_ = State::failing;
     flush();
 }
--- a/src/frontend/resp/resp_connection.h
+++ b/src/frontend/resp/resp_connection.h
@@ -29,7 +29,7 @@
     void close(CloseReason reason);
 
     EvictionPriority eviction_priority() const override;
-    bool at_rest() const override;
+    bool is_quiescent() const override;
     void evict() override { linger(CloseReason::evicted); }
     void abort_lingering() override { close(CloseReason::linger_crowded); }
 
@@ -46,9 +46,9 @@
         closed
     };
     enum class ReadResult {
-        incomplete,   // no complete command is left
-        no_capacity,  // for further responses
-        turn_used     // command limit of a turn; more complete commands may be buffered
+        incomplete,         // no complete command is left
+        no_capacity,        // for further responses
+        turn_limit_reached  // command limit of a turn; more complete commands may be buffered
     };
 
     std::optional<PendingWait> pending_wait(Wait wait) const override;
@@ -59,20 +59,20 @@
     void read_commands();
     ReadResult read_batch(std::size_t& consumed);
     void consume_input(std::size_t consumed);
-    void handle_command(const std::vector<std::string_view>& words, Micros waited);
-    void start_request(const std::vector<std::string_view>& words, Micros waited);
-    void reject_command(std::string_view why);
-    bool must_wait() const;
+    void handle_command(const std::vector<std::string_view>& arguments, Micros waited);
+    void start_request(const std::vector<std::string_view>& arguments, Micros waited);
+    void reject_command(std::string_view reason);
+    bool must_defer_commands() const;
     void update_reading();
     void account_input(std::size_t before);  // size before the change
 
     // ---- responses and closing ----
     void flush();
-    bool drained() const;
-    void fail(std::string_view why);  // open -> failing; sends one error reply
-    void linger(CloseReason reason);  // open or failing -> lingering
-    CloseReason end_reason() const;   // of a drained connection
-    bool idle() const;
+    bool is_drained() const;
+    void fail(std::string_view reason);  // open -> failing; sends one error reply
+    void linger(CloseReason reason);     // open or failing -> lingering
+    CloseReason end_reason() const;      // of a drained connection
+    bool is_idle() const;
     bool discard(std::size_t bytes);  // false: above max_discarded_bytes
     void report_close(CloseReason reason);
 
--- a/src/http/chunk_validator.cpp
+++ b/src/http/chunk_validator.cpp
@@ -9,17 +9,19 @@
 constexpr int max_trailer_bytes = 8 * 1024;
 constexpr std::uint64_t hex_base = 16;
 
-bool is_token(unsigned char c) {
-    return (c >= '0' && c <= '9') || (c >= 'A' && c <= 'Z') || (c >= 'a' && c <= 'z') ||
-           std::string_view("!#$%&'*+-.^_`|~").find(static_cast<char>(c)) != std::string_view::npos;
+bool is_token_character(unsigned char byte) {
+    return (byte >= '0' && byte <= '9') || (byte >= 'A' && byte <= 'Z') ||
+           (byte >= 'a' && byte <= 'z') ||
+           std::string_view("!#$%&'*+-.^_`|~").find(static_cast<char>(byte)) !=
+               std::string_view::npos;
 }
-bool is_text(unsigned char c) {
-    return c == '\t' || (c >= ' ' && c != 0x7F);
+bool is_text_character(unsigned char byte) {
+    return byte == '\t' || (byte >= ' ' && byte != 0x7F);
 }
-int hex_digit(unsigned char c) {
-    if (c >= '0' && c <= '9') return c - '0';
-    if (c >= 'a' && c <= 'f') return c - 'a' + 10;
-    if (c >= 'A' && c <= 'F') return c - 'A' + 10;
+int hex_digit_value(unsigned char byte) {
+    if (byte >= '0' && byte <= '9') return byte - '0';
+    if (byte >= 'a' && byte <= 'f') return byte - 'a' + 10;
+    if (byte >= 'A' && byte <= 'F') return byte - 'A' + 10;
     return -1;
 }
 }  // namespace
@@ -32,7 +34,7 @@
             return "a chunk's size must be hexadecimal digits";
         case ChunkError::size_too_large:
             return "a chunk's size is too large";
-        case ChunkError::size_not_ended:
+        case ChunkError::size_not_terminated:
             return "a chunk's size must end with CR LF or an extension";
         case ChunkError::size_without_crlf:
             return "a chunk's size must end with CR LF";
@@ -79,7 +81,7 @@
     return ChunkError::none;
 }
 
-ChunkError ChunkValidator::go(State next) {
+ChunkError ChunkValidator::transition_to(State next) {
     state_ = next;
     return ChunkError::none;
 }
@@ -104,36 +106,41 @@
         size_digits_ = 0;
         extension_bytes_ = 0;
     }
-    if (const int digit = hex_digit(byte); digit >= 0) {
+    if (const int digit = hex_digit_value(byte); digit >= 0) {
         if (++size_digits_ > max_size_digits) return ChunkError::size_too_large;
         remaining_bytes_ = remaining_bytes_ * hex_base + static_cast<std::uint64_t>(digit);
-        return go(State::size);
+        return transition_to(State::size);
     }
     if (size_digits_ == 0) return ChunkError::size_not_hexadecimal;
-    if (byte == ';') return go(State::extension_start);
-    return byte == '\r' ? go(State::size_lf) : ChunkError::size_not_ended;
+    if (byte == ';') return transition_to(State::extension_start);
+    return byte == '\r' ? transition_to(State::size_lf) : ChunkError::size_not_terminated;
 }
 
 ChunkError ChunkValidator::read_extension(unsigned char byte) {
     if (++extension_bytes_ > max_extension_bytes) return ChunkError::extensions_too_long;
     switch (state_) {
         case State::extension_start:
-            return is_token(byte) ? go(State::extension_name) : ChunkError::extension_without_name;
+            return is_token_character(byte) ? transition_to(State::extension_name)
+                                            : ChunkError::extension_without_name;
         case State::value_start:
-            if (byte == '"') return go(State::quoted_value);
-            return is_token(byte) ? go(State::value) : ChunkError::extension_without_value;
+            if (byte == '"') return transition_to(State::quoted_value);
+            return is_token_character(byte) ? transition_to(State::value)
+                                            : ChunkError::extension_without_value;
         case State::quoted_value:
-            if (byte == '"') return go(State::quote_closed);
-            if (byte == '\\') return go(State::escaped_character);
-            return is_text(byte) ? ChunkError::none : ChunkError::extension_control_character;
+            if (byte == '"') return transition_to(State::quote_closed);
+            if (byte == '\\') return transition_to(State::escaped_character);
+            return is_text_character(byte) ? ChunkError::none
+                                           : ChunkError::extension_control_character;
         case State::escaped_character:
-            return is_text(byte) ? go(State::quoted_value)
-                                 : ChunkError::extension_control_character;
+            return is_text_character(byte) ? transition_to(State::quoted_value)
+                                           : ChunkError::extension_control_character;
         default:  // extension_name, value, quote_closed
-            if (state_ == State::extension_name && byte == '=') return go(State::value_start);
-            if (state_ != State::quote_closed && is_token(byte)) return ChunkError::none;
-            if (byte == ';') return go(State::extension_start);
-            return byte == '\r' ? go(State::size_lf) : ChunkError::extension_without_crlf;
+            if (state_ == State::extension_name && byte == '=')
+                return transition_to(State::value_start);
+            if (state_ != State::quote_closed && is_token_character(byte)) return ChunkError::none;
+            if (byte == ';') return transition_to(State::extension_start);
+            return byte == '\r' ? transition_to(State::size_lf)
+                                : ChunkError::extension_without_crlf;
     }
 }
 
@@ -141,14 +148,14 @@
     switch (state_) {
         case State::size_lf:
             if (byte != '\n') return ChunkError::size_without_crlf;
-            return go(remaining_bytes_ == 0 ? State::trailer_start : State::data);
+            return transition_to(remaining_bytes_ == 0 ? State::trailer_start : State::data);
         case State::data:  // which has been read completely
         case State::data_cr:
-            return byte == '\r' ? go(State::data_lf) : ChunkError::data_without_crlf;
+            return byte == '\r' ? transition_to(State::data_lf) : ChunkError::data_without_crlf;
         case State::data_lf:
-            return byte == '\n' ? go(State::size_start) : ChunkError::data_without_crlf;
+            return byte == '\n' ? transition_to(State::size_start) : ChunkError::data_without_crlf;
         case State::end_lf:
-            return byte == '\n' ? go(State::done) : ChunkError::body_without_crlf;
+            return byte == '\n' ? transition_to(State::done) : ChunkError::body_without_crlf;
         default:
             return ChunkError::none;
     }
@@ -158,16 +165,19 @@
     if (++trailer_bytes_ > max_trailer_bytes) return ChunkError::trailers_too_long;
     switch (state_) {
         case State::trailer_start:
-            if (byte == '\r') return go(State::end_lf);
-            return is_token(byte) ? go(State::trailer_name) : ChunkError::trailer_without_name;
+            if (byte == '\r') return transition_to(State::end_lf);
+            return is_token_character(byte) ? transition_to(State::trailer_name)
+                                            : ChunkError::trailer_without_name;
         case State::trailer_name:
-            if (byte == ':') return go(State::trailer_value);
-            return is_token(byte) ? ChunkError::none : ChunkError::trailer_without_colon;
+            if (byte == ':') return transition_to(State::trailer_value);
+            return is_token_character(byte) ? ChunkError::none : ChunkError::trailer_without_colon;
         case State::trailer_value:
-            if (byte == '\r') return go(State::trailer_lf);
-            return is_text(byte) ? ChunkError::none : ChunkError::trailer_control_character;
+            if (byte == '\r') return transition_to(State::trailer_lf);
+            return is_text_character(byte) ? ChunkError::none
+                                           : ChunkError::trailer_control_character;
         default:  // trailer_lf
-            return byte == '\n' ? go(State::trailer_start) : ChunkError::trailer_without_crlf;
+            return byte == '\n' ? transition_to(State::trailer_start)
+                                : ChunkError::trailer_without_crlf;
     }
 }
 
--- a/src/http/chunk_validator.h
+++ b/src/http/chunk_validator.h
@@ -10,7 +10,7 @@
     none,
     size_not_hexadecimal,
     size_too_large,
-    size_not_ended,  // followed by neither CR LF nor an extension
+    size_not_terminated,  // followed by neither CR LF nor an extension
     size_without_crlf,
     extension_without_name,
     extension_without_value,
@@ -62,7 +62,7 @@
         end_lf,
         done
     };
-    ChunkError go(State next);
+    ChunkError transition_to(State next);
     ChunkError read_byte(unsigned char byte);
     ChunkError read_size(unsigned char byte);
     ChunkError read_extension(unsigned char byte);
--- a/src/http/head.h
+++ b/src/http/head.h
@@ -18,7 +18,7 @@
 using Fields = std::vector<Field>;
 
 // Whether the texts are equal apart from the case of ASCII letters.
-bool same_name(std::string_view a, std::string_view b);
+bool equals_ignore_case(std::string_view a, std::string_view b);
 // Returns the value of the first field of that name; nullptr if there is none.
 const std::string* find(const Fields& fields, std::string_view name);
 // Whether a comma-separated field of that name contains the element, ignoring case.
@@ -31,21 +31,21 @@
 };
 
 struct HeadLimits {
-    std::size_t target = 8192;  // bytes
-    std::size_t head = 16384;   // bytes
-    std::size_t fields = 100;
+    std::size_t max_target_bytes = 8192;
+    std::size_t max_head_bytes = 16384;
+    std::size_t max_fields = 100;
 };
 
 // Checks a complete request head, which includes the empty line. Rejects everything that two
 // programs could interpret differently: bare CR or LF, folded lines, white space before a colon, a
 // Content-Length that is repeated, signed or combined with Transfer-Encoding, transfer codings
 // other than chunked, and a missing (in HTTP/1.1) or repeated Host.
-std::optional<Fault> check_request(std::string_view head, const HeadLimits& limits);
+std::optional<Fault> check_request_head(std::string_view head, const HeadLimits& limits);
 // Checks a complete response head in the same way, as far as the rules apply. Faults have status
 // 502.
-std::optional<Fault> check_response(std::string_view head);
+std::optional<Fault> check_response_head(std::string_view head);
 // Checks whether an incomplete head already exceeds a limit or contains a bare LF.
-std::optional<Fault> check_partial(std::string_view head, const HeadLimits& limits);
+std::optional<Fault> check_partial_head(std::string_view head, const HeadLimits& limits);
 // Returns the position after the head's empty line; npos if the head is incomplete. `from`: the
 // number of bytes that an earlier call has searched.
 std::size_t head_end(std::string_view bytes, std::size_t from);
@@ -54,13 +54,13 @@
 std::vector<std::string_view> connection_options(const Fields& fields);
 // Whether a field applies to a single connection and is not forwarded: the fields of RFC 9110,
 // section 7.6.1, and those that Connection names.
-bool hop_by_hop(const std::vector<std::string_view>& connection_options, std::string_view name);
+bool is_hop_by_hop(const std::vector<std::string_view>& connection_options, std::string_view name);
 
 bool is_token(std::string_view text);              // not empty (RFC 9110, section 5.6.2)
 bool is_valid_request_id(std::string_view text);   // 1 to 64 letters, digits, '.', '_', '-'
 bool is_valid_traceparent(std::string_view text);  // W3C Trace Context, version 00
 
-std::string_view reason_phrase(int status);  // empty for an unknown status
-std::string date_text(std::time_t at);       // IMF-fixdate (RFC 9110, section 5.6.7)
+std::string_view reason_phrase(int status);           // empty for an unknown status
+std::string format_http_date(std::time_t timestamp);  // IMF-fixdate (RFC 9110, section 5.6.7)
 
 }  // namespace silverreach::http
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -5,7 +5,7 @@
 
 namespace silverreach::http {
 namespace {
-Parser& self_of(http_parser* parser) {
+Parser& parser_from(http_parser* parser) {
     return *static_cast<Parser*>(parser->data);
 }
 }  // namespace
@@ -19,32 +19,32 @@
 http_parser_settings Parser::callbacks() {
     http_parser_settings settings;
     http_parser_settings_init(&settings);
-    settings.on_url = [](http_parser* parser, const char* at, size_t size) {
-        self_of(parser).head_.target.append(at, size);
+    settings.on_url = [](http_parser* parser, const char* data, size_t size) {
+        parser_from(parser).head_.target.append(data, size);
         return 0;
     };
-    settings.on_header_field = [](http_parser* parser, const char* at, size_t size) {
-        Parser& self = self_of(parser);
+    settings.on_header_field = [](http_parser* parser, const char* data, size_t size) {
+        Parser& self = parser_from(parser);
         Fields& fields = self.current_fields();
         if (std::exchange(self.last_was_value_, false)) fields.emplace_back();
-        fields.back().name.append(at, size);
+        fields.back().name.append(data, size);
         return 0;
     };
-    settings.on_header_value = [](http_parser* parser, const char* at, size_t size) {
-        Parser& self = self_of(parser);
+    settings.on_header_value = [](http_parser* parser, const char* data, size_t size) {
+        Parser& self = parser_from(parser);
         self.last_was_value_ = true;
-        self.current_fields().back().value.append(at, size);
+        self.current_fields().back().value.append(data, size);
         return 0;
     };
     settings.on_headers_complete = [](http_parser* parser) {
-        return self_of(parser).on_headers_complete();
+        return parser_from(parser).on_headers_complete();
     };
-    settings.on_body = [](http_parser* parser, const char* at, size_t size) {
-        self_of(parser).events_.on_body({at, size});
+    settings.on_body = [](http_parser* parser, const char* data, size_t size) {
+        parser_from(parser).events_.on_body({data, size});
         return 0;
     };
     settings.on_message_complete = [](http_parser* parser) {
-        return self_of(parser).on_message_complete();
+        return parser_from(parser).on_message_complete();
     };
     return settings;
 }
@@ -55,19 +55,19 @@
 
 // Returns a code for http-parser: 1 if the message has no body, -1 to stop, else 0.
 int Parser::on_headers_complete() {
-    head_.request = is_request();
+    head_.is_request = is_request();
     head_.minor = parser_.http_minor;
     head_.status = static_cast<int>(parser_.status_code);
     head_.keep_alive = http_should_keep_alive(&parser_) != 0;
     head_.chunked = (parser_.flags & F_CHUNKED) != 0;
-    head_.has_length = (parser_.flags & F_CONTENTLENGTH) != 0;
-    head_.length = head_.has_length ? parser_.content_length : 0;
+    head_.has_content_length = (parser_.flags & F_CONTENTLENGTH) != 0;
+    head_.content_length = head_.has_content_length ? parser_.content_length : 0;
     in_trailers_ = true;
     last_was_value_ = true;
-    informational_ = !is_request() && head_.status >= 100 && head_.status < 200;
-    if (informational_) return 1;
-    const bool no_body = to_head_ || head_.status == 204 || head_.status == 304;
-    head_.until_close = !is_request() && !no_body && !head_.chunked && !head_.has_length;
+    is_informational_ = !is_request() && head_.status >= 100 && head_.status < 200;
+    if (is_informational_) return 1;
+    const bool no_body = is_response_to_head_ || head_.status == 204 || head_.status == 304;
+    head_.until_close = !is_request() && !no_body && !head_.chunked && !head_.has_content_length;
     if (head_.until_close) head_.keep_alive = false;
     if (!events_.on_head(head_)) {
         state_ = State::failed;
@@ -78,7 +78,7 @@
 
 int Parser::on_message_complete() {
     http_parser_pause(&parser_, 1);
-    if (informational_) return 0;
+    if (is_informational_) return 0;
     state_ = State::complete;
     events_.on_message_end(trailers_);
     return 0;
@@ -101,7 +101,7 @@
 std::size_t Parser::feed_message(std::string_view bytes) {
     // Validated before http-parser reads them: if they contain an error, none of them is passed on.
     if (head_.chunked) {
-        const ChunkError error = chunks_.validate(bytes);
+        const ChunkError error = chunk_validator_.validate(bytes);
         if (error != ChunkError::none) {
             fail({fault_status(), to_string(error)});
             return 0;
@@ -111,23 +111,23 @@
 }
 
 std::size_t Parser::feed_head(std::string_view bytes) {
-    const std::size_t before = buffered_.size();
+    const std::size_t before = head_buffer_.size();
     // However large the piece is, at most one byte more than the limit of a head is buffered.
     const std::string_view piece =
-        bytes.substr(0, limits_.head + 1 - std::min(limits_.head, before));
-    buffered_.append(piece);
+        bytes.substr(0, limits_.max_head_bytes + 1 - std::min(limits_.max_head_bytes, before));
+    head_buffer_.append(piece);
     std::size_t empty_lines = 0;  // in bytes; ignored before a request (RFC 9112, section 2.2)
-    while (is_request() && std::string_view(buffered_).substr(empty_lines).starts_with("\r\n"))
+    while (is_request() && std::string_view(head_buffer_).substr(empty_lines).starts_with("\r\n"))
         empty_lines += 2;
-    buffered_.erase(0, empty_lines);
-    const std::size_t end = head_end(buffered_, before - std::min(before, empty_lines));
+    head_buffer_.erase(0, empty_lines);
+    const std::size_t end = head_end(head_buffer_, before - std::min(before, empty_lines));
     if (end == std::string::npos) {
-        if (auto fault = check_partial(buffered_, limits_)) fail(*fault);
+        if (auto fault = check_partial_head(head_buffer_, limits_)) fail(*fault);
         return piece.size();
     }
-    std::string head = std::exchange(buffered_, {}).substr(0, end);
+    std::string head = std::exchange(head_buffer_, {}).substr(0, end);
     const std::size_t consumed = end + empty_lines - before;
-    const auto fault = is_request() ? check_request(head, limits_) : check_response(head);
+    const auto fault = is_request() ? check_request_head(head, limits_) : check_response_head(head);
     if (fault)
         fail(*fault);
     else
@@ -137,7 +137,7 @@
 
 void Parser::begin_message(std::string head) {
     head_ = Head{};
-    chunks_ = ChunkValidator{};
+    chunk_validator_ = ChunkValidator{};
     if (is_request()) {
         // The owner decides which methods are valid. http-parser always reads POST, because it
         // accepts only some methods and treats CONNECT differently.
@@ -147,10 +147,10 @@
     trailers_.clear();
     in_trailers_ = false;
     last_was_value_ = true;
-    informational_ = false;
+    is_informational_ = false;
     state_ = State::reading_message;
     execute(head);
-    if (informational_) next();
+    if (is_informational_) next();
 }
 
 std::size_t Parser::execute(std::string_view bytes) {
@@ -178,7 +178,7 @@
 
 void Parser::next() {
     state_ = State::reading_head;
-    buffered_.clear();
+    head_buffer_.clear();
     http_parser_init(&parser_, is_request() ? HTTP_REQUEST : HTTP_RESPONSE);
     parser_.data = this;
 }
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -13,7 +13,7 @@
 namespace silverreach::http {
 
 struct Head {
-    bool request = true;
+    bool is_request = true;
     std::string method;  // of a request
     std::string target;  // of a request
     int status = 0;      // of a response
@@ -21,9 +21,9 @@
     Fields fields;
     bool keep_alive = true;
     bool chunked = false;
-    bool has_length = false;
-    std::uint64_t length = 0;  // bytes, of Content-Length
-    bool until_close = false;  // a response whose body ends with its connection
+    bool has_content_length = false;
+    std::uint64_t content_length = 0;  // bytes, of Content-Length
+    bool until_close = false;          // a response whose body ends with its connection
 };
 
 // States:   reading_head -> reading_message -> complete,   any -> failed
@@ -55,10 +55,10 @@
     void finish();
     void next();  // prepares for another message; may be called in any state
     // Sets whether the next response answers a HEAD request and therefore has no body.
-    void answer_to_head(bool yes) { to_head_ = yes; }
+    void answer_to_head(bool yes) { is_response_to_head_ = yes; }
 
     // Whether the parser is between messages and has no byte of the next one.
-    bool idle() const { return state_ == State::reading_head && buffered_.empty(); }
+    bool idle() const { return state_ == State::reading_head && head_buffer_.empty(); }
     bool done() const { return state_ == State::complete; }
 
   private:
@@ -85,14 +85,14 @@
     HeadLimits limits_;
     Kind kind_;
     State state_ = State::reading_head;
-    std::string buffered_;  // an incomplete head
+    std::string head_buffer_;  // an incomplete head
     Head head_;
-    ChunkValidator chunks_;
+    ChunkValidator chunk_validator_;
     Fields trailers_;
     bool last_was_value_ = true;
     bool in_trailers_ = false;
-    bool to_head_ = false;
-    bool informational_ = false;  // the message is a 1xx response, which is skipped
+    bool is_response_to_head_ = false;
+    bool is_informational_ = false;  // the message is a 1xx response, which is skipped
 };
 
 }  // namespace silverreach::http
--- a/src/resp/command_parser.cpp
+++ b/src/resp/command_parser.cpp
@@ -35,9 +35,9 @@
     const ParseStatus status = parse_header(bytes, position_, array_type, count);
     if (status == ParseStatus::incomplete) return status;
     if (status == ParseStatus::malformed) return fail(ParseError::expected_array);
-    if (!limits_.allow_elements(count, min_elements))
+    if (!limits_.allows_element_count(count, min_elements))
         return fail(ParseError::element_count_out_of_range);
-    argument_total_ = static_cast<std::size_t>(count);
+    expected_argument_count_ = static_cast<std::size_t>(count);
     state_ = State::bulk_header;
     return ParseStatus::complete;
 }
@@ -47,7 +47,7 @@
     const ParseStatus status = parse_header(bytes, position_, bulk_string_type, size);
     if (status == ParseStatus::incomplete) return status;
     if (status == ParseStatus::malformed) return fail(ParseError::expected_bulk_string);
-    if (!limits_.allow_bulk(size, position_)) return fail(ParseError::length_out_of_range);
+    if (!limits_.allows_bulk_string(size, position_)) return fail(ParseError::length_out_of_range);
     bulk_size_ = static_cast<std::size_t>(size);
     state_ = State::bulk_value;
     return ParseStatus::complete;
@@ -59,7 +59,7 @@
     if (status == ParseStatus::malformed) return fail(ParseError::length_mismatch);
     arguments_.push_back({position_, bulk_size_});
     position_ += bulk_size_ + crlf_bytes;
-    state_ = arguments_.size() < argument_total_ ? State::bulk_header : State::complete;
+    state_ = arguments_.size() < expected_argument_count_ ? State::bulk_header : State::complete;
     return ParseStatus::complete;
 }
 
--- a/src/resp/command_parser.h
+++ b/src/resp/command_parser.h
@@ -60,7 +60,7 @@
     ParseLimits limits_;
     State state_ = State::array_header;
     std::size_t position_ = 0;  // of the element that `state_` names
-    std::size_t argument_total_ = 0;
+    std::size_t expected_argument_count_ = 0;
     std::size_t bulk_size_ = 0;
     std::vector<Argument> arguments_;
     ParseError error_ = ParseError::none;
--- a/src/resp/parse_limits.h
+++ b/src/resp/parse_limits.h
@@ -14,12 +14,12 @@
 
     // Whether a message may contain a bulk string with the announced `size` in bytes that begins at
     // `position` of the message.
-    bool allow_bulk(std::int64_t size, std::size_t position) const {
+    bool allows_bulk_string(std::int64_t size, std::size_t position) const {
         return size >= 0 && size <= static_cast<std::int64_t>(max_bulk_bytes) &&
                position + static_cast<std::size_t>(size) <= max_message_bytes;
     }
     // Whether a message may have the announced number of elements, of which `minimum` are required.
-    bool allow_elements(std::int64_t count, std::int64_t minimum) const {
+    bool allows_element_count(std::int64_t count, std::int64_t minimum) const {
         return count >= minimum && count <= static_cast<std::int64_t>(max_elements);
     }
 };
--- a/src/resp/reply_parser.cpp
+++ b/src/resp/reply_parser.cpp
@@ -58,10 +58,10 @@
     std::int64_t count = 0;
     const ParseStatus status = parse_header(bytes, position_, array_type, count);
     if (status != ParseStatus::complete) return status;
-    if (!limits_.allow_elements(count, 0)) return ParseStatus::malformed;
+    if (!limits_.allows_element_count(count, 0)) return ParseStatus::malformed;
     reply_.type = ReplyType::array;
-    element_total_ = static_cast<std::size_t>(count);
-    state_ = element_total_ > 0 ? State::element : State::complete;
+    expected_element_count_ = static_cast<std::size_t>(count);
+    state_ = expected_element_count_ > 0 ? State::element : State::complete;
     return ParseStatus::complete;
 }
 
@@ -91,7 +91,7 @@
     const ParseStatus status = parse_header(bytes, position_, bulk_string_type, size);
     if (status != ParseStatus::complete) return status;
     if (size == null_length) return accept(Reply{});
-    if (!limits_.allow_bulk(size, position_)) return ParseStatus::malformed;
+    if (!limits_.allows_bulk_string(size, position_)) return ParseStatus::malformed;
     bulk_size_ = static_cast<std::size_t>(size);
     state_ = State::bulk_value;
     return ParseStatus::complete;
@@ -113,7 +113,7 @@
         return ParseStatus::complete;
     }
     reply_.elements.push_back(std::move(element));
-    state_ = reply_.elements.size() < element_total_ ? State::element : State::complete;
+    state_ = reply_.elements.size() < expected_element_count_ ? State::element : State::complete;
     return ParseStatus::complete;
 }
 
--- a/src/resp/reply_parser.h
+++ b/src/resp/reply_parser.h
@@ -52,7 +52,7 @@
     ParseLimits limits_;
     State state_ = State::start;
     std::size_t position_ = 0;  // of the element that `state_` names
-    std::size_t element_total_ = 0;
+    std::size_t expected_element_count_ = 0;
     std::size_t bulk_size_ = 0;
     Reply reply_;
 };
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 int status_of(const std::string& head, HeadLimits limits = {}) {
-    const auto fault = check_request(head + "\r\n", limits);
+    const auto fault = check_request_head(head + "\r\n", limits);
     return fault ? fault->status : 0;
 }
 struct Seen : Parser::Events {
@@ -77,13 +77,13 @@
 }
 
 TEST(Head, EarlyWordOnHeadsThatWillNeverPass) {
-    EXPECT_EQ(check_partial("GET /" + std::string(200, 'a'), {100, 1000, 10})->status, 414);
-    EXPECT_EQ(
-        check_partial("GET / HTTP/1.1\r\nX: " + std::string(2000, 'a'), {100, 1000, 10})->status,
-        431);
-    EXPECT_EQ(check_partial("GET / HTTP/1.1\nHost: h\n\n", {})->status, 400)
+    EXPECT_EQ(check_partial_head("GET /" + std::string(200, 'a'), {100, 1000, 10})->status, 414);
+    EXPECT_EQ(check_partial_head("GET / HTTP/1.1\r\nX: " + std::string(2000, 'a'), {100, 1000, 10})
+                  ->status,
+              431);
+    EXPECT_EQ(check_partial_head("GET / HTTP/1.1\nHost: h\n\n", {})->status, 400)
         << "bare LF would wait for ever";
-    EXPECT_FALSE(check_partial("GET / HTTP/1.1\r\nHost: h\r\n", {}));
+    EXPECT_FALSE(check_partial_head("GET / HTTP/1.1\r\nHost: h\r\n", {}));
 }
 
 TEST(Head, SoundIdentitiesOnly) {
@@ -98,15 +98,15 @@
 }
 
 TEST(Head, DatesAreWrittenAsTheSpecificationHasThem) {
-    EXPECT_EQ(date_text(784111777), "Sun, 06 Nov 1994 08:49:37 GMT");
+    EXPECT_EQ(format_http_date(784111777), "Sun, 06 Nov 1994 08:49:37 GMT");
 }
 
 TEST(Head, HopByHopFieldsAreThoseNamedAndThoseAlways) {
     const Fields fields = {{"Connection", "close, X-Mine"}, {"Connection", "keep-alive"}};
     const auto words = connection_options(fields);
-    EXPECT_TRUE(hop_by_hop(words, "x-mine"));
-    EXPECT_TRUE(hop_by_hop(words, "TE"));
-    EXPECT_FALSE(hop_by_hop(words, "Accept"));
+    EXPECT_TRUE(is_hop_by_hop(words, "x-mine"));
+    EXPECT_TRUE(is_hop_by_hop(words, "TE"));
+    EXPECT_FALSE(is_hop_by_hop(words, "Accept"));
     EXPECT_TRUE(list_contains(fields, "connection", "KEEP-ALIVE"));
 }
 
@@ -123,7 +123,7 @@
         ASSERT_EQ(seen.ends, 3) << step;
         EXPECT_EQ(seen.body, "abcdexy");
         EXPECT_EQ(seen.heads[1].target, "/b");
-        EXPECT_EQ(seen.heads[2].length, 2u);
+        EXPECT_EQ(seen.heads[2].content_length, 2u);
         EXPECT_EQ(seen.trailers, "T=v;");
         EXPECT_TRUE(parser.idle());
     }
