--- a/bench/bare_relay.cpp
+++ b/bench/bare_relay.cpp
@@ -21,7 +21,7 @@
         parser.feed(bytes);
         if (!parser.done()) return;
         identity = front::identify_request(head, random);
-        client = {head.minor, head.method == "HEAD", head.keep_alive, false, {}};
+        client = {head.minor_version, head.method == "HEAD", head.keep_alive, false, {}};
         auto out = std::make_shared<upstream_http::OutRequest>();
         out->head = front::request_head_for_host(head, head.target, identity, "127.0.0.1", "relay",
                                                  body.size());
@@ -67,7 +67,7 @@
 void BareRelay::on_response_ended(const core::AttemptKey& key, bool, const http::Fields&) {
     Connection& c = *by_id_.at(key.request);
     by_id_.erase(key.request);
-    c.parser.next();
+    c.parser.reset();
 }
 void BareRelay::on_attempt_ended(const core::AttemptKey& key, const std::string&, Outcome, Micros,
                                  const LoadReport&, int) {
--- a/bench/parts_bench.cpp
+++ b/bench/parts_bench.cpp
@@ -102,12 +102,12 @@
     event::SystemRandom random;
     for (auto _ : state) {
         requests.feed(request);
-        requests.next();
+        requests.reset();
         const auto identity = frontend::http::identify_request(in.head, random);
         benchmark::DoNotOptimize(frontend::http::request_head_for_host(
             in.head, "/sites/merja/tally", identity, "127.0.0.1", "silverreach-0", 0));
         answers.feed(answer);
-        answers.next();
+        answers.reset();
         benchmark::DoNotOptimize(frontend::http::response_head_for_client(
             out.head, {}, identity.request_id, "silverreach-0", framing));
     }
--- a/fakes/client.cpp
+++ b/fakes/client.cpp
@@ -23,8 +23,8 @@
         busy = true, head_seen = false, status = 0, reason.clear(), retry_after = Micros(0);
         sent = clients.loop_.now();
         ++turn;
-        parser.next();
-        parser.answer_to_head(now.flow.method == "HEAD");
+        parser.reset();
+        parser.set_response_to_head(now.flow.method == "HEAD");
         stream.write(bytes);
         clients.loop_.after(now.flow.deadline + patience_after,
                             [this, at = turn, alive = std::weak_ptr<bool>(alive)] {
--- a/fakes/server.cpp
+++ b/fakes/server.cpp
@@ -66,7 +66,7 @@
         c.stream.end();
         return true;
     }
-    c.parser.next();
+    c.parser.reset();
     loop_.after(std::chrono::microseconds(0), [this, token, alive = std::weak_ptr<bool>(alive_)] {
         if (alive.expired()) return;
         if (const auto again = connections_.find(token); again != connections_.end())
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -79,7 +79,7 @@
         log_.write(log::Level::debug, "client_closed",
                    {{"why", std::string(frontend::resp::to_string(close.reason))},
                     {"in_hand", whole(close.requests_in_flight)},
-                    {"open_us", std::int64_t{close.open_for.count()}}});
+                    {"open_us", std::int64_t{close.open_duration.count()}}});
     });
     discovery::DiscoveryWatch::Callbacks callbacks;
     callbacks.on_list = [this](const platform::TargetList& list) { hosts_changed(list); };
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -57,7 +57,7 @@
     }
     void on_message_end(http::Fields&) override {}
     void on_fault(const http::Fault& fault) override {
-        end(DiscoveryErrorCode::unexpected_reply, std::string(fault.why));
+        end(DiscoveryErrorCode::unexpected_reply, std::string(fault.reason));
     }
 
   private:
--- a/src/discovery/rest_discovery.cpp
+++ b/src/discovery/rest_discovery.cpp
@@ -53,7 +53,7 @@
     retired_stream_.reset();
     if (!connect()) return;
     const std::string body = request_body();
-    parser_.next();
+    parser_.reset();
     body_.clear();
     state_ = State::awaiting_response;
     requested_at_ = loop_.now();
@@ -99,7 +99,7 @@
 }
 
 void RestDiscovery::on_fault(const http::Fault& fault) {
-    on_failure(DiscoveryErrorCode::unexpected_reply, std::string(fault.why));
+    on_failure(DiscoveryErrorCode::unexpected_reply, std::string(fault.reason));
 }
 
 void RestDiscovery::on_response() {
--- a/src/frontend/http/client_request.cpp
+++ b/src/frontend/http/client_request.cpp
@@ -11,7 +11,7 @@
     auto request = std::make_unique<ClientRequest>();
     request->received_at = received_at;
     request->head = std::move(head);
-    request->client.minor = request->head.minor;
+    request->client.minor_version = request->head.minor_version;
     request->client.head_method = request->head.method == "HEAD";
     request->client.keep_alive = request->head.keep_alive;
     request->client.accepts_trailers = wire::list_contains(request->head.fields, "TE", "trailers");
@@ -40,7 +40,7 @@
 
 bool expects_continue(const wire::Head& head) {
     const bool has_body = head.chunked || head.content_length > 0;
-    return wire::find(head.fields, "Expect") && has_body && head.minor >= 1;
+    return wire::find(head.fields, "Expect") && has_body && head.minor_version >= 1;
 }
 
 std::size_t max_body_bytes(const FrontendContext& context) {
--- a/src/frontend/http/http_connection.cpp
+++ b/src/frontend/http/http_connection.cpp
@@ -103,7 +103,7 @@
     }
     request_->client.keep_alive = false;
     const RequestError error{fault.status, std::string(wire::reason_phrase(fault.status)),
-                             std::string(fault.why)};
+                             std::string(fault.reason)};
     reply_locally(local_reply(error), "bad-request");
 }
 
@@ -197,7 +197,7 @@
     start_wait(last_progress_);
     if (!keep_alive) return linger();
     state_ = State::reading_head;
-    parser_.next();
+    parser_.reset();
     if (pending_input_.empty() && !half_closed_) return;
     // Deferred because processing the next request within the call that delivered the response
     // would let a client nest calls without limit.
--- a/src/frontend/http/local_reply.cpp
+++ b/src/frontend/http/local_reply.cpp
@@ -101,7 +101,7 @@
     if (!request_id.empty()) append_field(out, "X-Request-Id", request_id);
     if (shows_retry_after(reply.status)) append_retry_after(out, reply.retry_after);
     out += reply.extra_fields;
-    append_connection_field(out, client.keep_alive, client.minor);
+    append_connection_field(out, client.keep_alive, client.minor_version);
     out += "\r\n";
     return client.head_method ? out : out + body;
 }
--- a/src/frontend/http/message_translation.cpp
+++ b/src/frontend/http/message_translation.cpp
@@ -39,7 +39,7 @@
 
 void append_via(std::string& out, const wire::Head& head, const std::string& via) {
     append_field(out, "Via",
-                 list_prefix(head.fields, "Via") + fmt::format("1.{} {}", head.minor, via));
+                 list_prefix(head.fields, "Via") + fmt::format("1.{} {}", head.minor_version, via));
 }
 
 bool has_no_body(int status) {
@@ -49,7 +49,7 @@
 Framing framing_of(const wire::Head& head, const ClientCapabilities& client) {
     if (client.head_method || has_no_body(head.status)) return Framing::none;
     if (head.has_content_length) return Framing::content_length;
-    return client.minor >= 1 ? Framing::chunked : Framing::until_close;
+    return client.minor_version >= 1 ? Framing::chunked : Framing::until_close;
 }
 }  // namespace
 
@@ -57,10 +57,10 @@
     out.append(name).append(": ").append(value).append("\r\n");
 }
 
-void append_connection_field(std::string& out, bool keep_alive, int minor) {
+void append_connection_field(std::string& out, bool keep_alive, int minor_version) {
     if (!keep_alive)
         append_field(out, "Connection", "close");
-    else if (minor == 0)
+    else if (minor_version == 0)
         append_field(out, "Connection", "keep-alive");
 }
 
@@ -121,7 +121,7 @@
         append_field(out, "Date", client.date);
     if (framing == Framing::chunked) append_field(out, "Transfer-Encoding", "chunked");
     append_connection_field(out, client.keep_alive && framing != Framing::until_close,
-                            client.minor);
+                            client.minor_version);
     return out += "\r\n";
 }
 
--- a/src/frontend/http/message_translation.h
+++ b/src/frontend/http/message_translation.h
@@ -36,7 +36,7 @@
 
 // The properties of a client and its request on which the form of the response depends.
 struct ClientCapabilities {
-    int minor = 1;  // HTTP/1.x
+    int minor_version = 1;  // HTTP/1.x
     bool head_method = false;
     bool keep_alive = true;
     bool accepts_trailers = false;
@@ -45,7 +45,7 @@
 
 void append_field(std::string& out, std::string_view name, std::string_view value);
 // Appends the Connection field if one is needed.
-void append_connection_field(std::string& out, bool keep_alive, int minor);
+void append_connection_field(std::string& out, bool keep_alive, int minor_version);
 
 // Returns a host's head as sent to the client; sets `framing` to how the body must be sent.
 std::string response_head_for_client(const wire::Head& head, const ClientCapabilities& client,
--- a/src/frontend/resp/connection_close.h
+++ b/src/frontend/resp/connection_close.h
@@ -31,7 +31,7 @@
 struct ConnectionClose {
     CloseReason reason = CloseReason::client_ended;
     std::size_t requests_in_flight = 0;
-    Micros open_for{0};
+    Micros open_duration{0};
 };
 
 }  // namespace silverreach::frontend::resp
--- a/src/http/head.cpp
+++ b/src/http/head.cpp
@@ -137,7 +137,7 @@
     return !text.empty() && std::all_of(text.begin(), text.end(), is_token_character);
 }
 
-std::size_t head_end(std::string_view bytes, std::size_t from) {
+std::size_t find_head_end(std::string_view bytes, std::size_t from) {
     const std::size_t at = bytes.find("\r\n\r\n", from < 3 ? 0 : from - 3);
     return at == std::string_view::npos ? at : at + 4;
 }
@@ -195,8 +195,8 @@
         return Fault{502, "a status line that is not whole"};
     Framing framing;
     if (auto fault = check_fields(head.substr(end + 2), max_response_fields, framing))
-        return Fault{502, fault->why};
-    if (auto fault = check_framing(framing, false)) return Fault{502, fault->why};
+        return Fault{502, fault->reason};
+    if (auto fault = check_framing(framing, false)) return Fault{502, fault->reason};
     return std::nullopt;
 }
 
--- a/src/http/head.h
+++ b/src/http/head.h
@@ -26,8 +26,8 @@
 
 // Why a message is rejected.
 struct Fault {
-    int status = 400;      // of the error response
-    std::string_view why;  // human-readable, with static storage
+    int status = 400;         // of the error response
+    std::string_view reason;  // human-readable, with static storage
 };
 
 struct HeadLimits {
@@ -48,7 +48,7 @@
 std::optional<Fault> check_partial_head(std::string_view head, const HeadLimits& limits);
 // Returns the position after the head's empty line; npos if the head is incomplete. `from`: the
 // number of bytes that an earlier call has searched.
-std::size_t head_end(std::string_view bytes, std::size_t from);
+std::size_t find_head_end(std::string_view bytes, std::size_t from);
 
 // Returns the options of the Connection field as views into `fields`.
 std::vector<std::string_view> connection_options(const Fields& fields);
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -56,7 +56,7 @@
 // Returns a code for http-parser: 1 if the message has no body, -1 to stop, else 0.
 int Parser::on_headers_complete() {
     head_.is_request = is_request();
-    head_.minor = parser_.http_minor;
+    head_.minor_version = parser_.http_minor;
     head_.status = static_cast<int>(parser_.status_code);
     head_.keep_alive = http_should_keep_alive(&parser_) != 0;
     head_.chunked = (parser_.flags & F_CHUNKED) != 0;
@@ -120,7 +120,7 @@
     while (is_request() && std::string_view(head_buffer_).substr(empty_lines).starts_with("\r\n"))
         empty_lines += 2;
     head_buffer_.erase(0, empty_lines);
-    const std::size_t end = head_end(head_buffer_, before - std::min(before, empty_lines));
+    const std::size_t end = find_head_end(head_buffer_, before - std::min(before, empty_lines));
     if (end == std::string::npos) {
         if (auto fault = check_partial_head(head_buffer_, limits_)) fail(*fault);
         return piece.size();
@@ -150,7 +150,7 @@
     is_informational_ = false;
     state_ = State::reading_message;
     execute(head);
-    if (is_informational_) next();
+    if (is_informational_) reset();
 }
 
 std::size_t Parser::execute(std::string_view bytes) {
@@ -176,7 +176,7 @@
     if (!idle()) fail({400, "the connection ended within a message"});
 }
 
-void Parser::next() {
+void Parser::reset() {
     state_ = State::reading_head;
     head_buffer_.clear();
     http_parser_init(&parser_, is_request() ? HTTP_REQUEST : HTTP_RESPONSE);
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -14,10 +14,10 @@
 
 struct Head {
     bool is_request = true;
-    std::string method;  // of a request
-    std::string target;  // of a request
-    int status = 0;      // of a response
-    int minor = 1;       // HTTP/1.x
+    std::string method;     // of a request
+    std::string target;     // of a request
+    int status = 0;         // of a response
+    int minor_version = 1;  // HTTP/1.x
     Fields fields;
     bool keep_alive = true;
     bool chunked = false;
@@ -27,7 +27,7 @@
 };
 
 // States:   reading_head -> reading_message -> complete,   any -> failed
-//           next(): any -> reading_head
+//           reset(): any -> reading_head
 class Parser {
   public:
     enum class Kind {
@@ -48,14 +48,16 @@
     Parser(Kind kind, Events& events, HeadLimits limits = {});
 
     // Reads bytes up to the end of one message and returns how many were consumed. Buffers an
-    // incomplete head. After the end of a message, next() must be called before more is fed.
+    // incomplete head. After the end of a message, reset() must be called before more is fed.
     std::size_t feed(std::string_view bytes);
     // Handles the end of the stream, which completes a response that ends with its connection and
     // is a fault within any other message.
     void finish();
-    void next();  // prepares for another message; may be called in any state
+    void reset();  // prepares for another message; may be called in any state
     // Sets whether the next response answers a HEAD request and therefore has no body.
-    void answer_to_head(bool yes) { is_response_to_head_ = yes; }
+    void set_response_to_head(bool is_response_to_head) {
+        is_response_to_head_ = is_response_to_head;
+    }
 
     // Whether the parser is between messages and has no byte of the next one.
     bool idle() const { return state_ == State::reading_head && head_buffer_.empty(); }
--- a/src/upstream/http/upstream_connection.cpp
+++ b/src/upstream/http/upstream_connection.cpp
@@ -25,8 +25,8 @@
     deliver_body_ = false;
     close_after_response_ = false;
     begin_exchange(key);
-    parser_.next();
-    parser_.answer_to_head(request_->head_method);
+    parser_.reset();
+    parser_.set_response_to_head(request_->head_method);
     if (state() == State::starting)
         write_request();
     else
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -37,7 +37,7 @@
         const std::size_t taken = parser.feed(pending);
         pending.erase(0, taken);
         if (parser.done())
-            parser.next();
+            parser.reset();
         else if (taken == 0 && n == 0)
             break;
     }
@@ -195,10 +195,10 @@
         7);
     ASSERT_EQ(seen.heads.size(), 1u) << "1xx is passed over";
     EXPECT_EQ(seen.body, "ok");
-    parser.answer_to_head(true);
+    parser.set_response_to_head(true);
     feed(parser, "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n", 9);
     EXPECT_EQ(seen.ends, 2);
-    parser.answer_to_head(false);
+    parser.set_response_to_head(false);
     parser.feed("HTTP/1.0 200 OK\r\n\r\nuntil the end");
     EXPECT_EQ(seen.ends, 2);
     parser.finish();
