--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -1,3 +1,4 @@
+// Tests HTTP heads and the parser, load reports, endpoint lists, start times and peer envelopes.
 #include <gtest/gtest.h>
 
 #include "discovery/endpoint_list.h"
@@ -14,41 +15,41 @@
     const auto fault = check_request_head(head + "\r\n", limits);
     return fault ? fault->status : 0;
 }
-struct Seen : Parser::Events {
+struct RecordedEvents : Parser::Events {
     std::vector<Head> heads;
     std::string body, trailers;
-    int ends = 0, fault = 0;
-    bool on_head(Head& h) override { return heads.push_back(h), true; }
-    void on_body(std::string_view b) override { body += b; }
-    void on_message_end(Fields& t) override {
-        ++ends;
-        for (const Field& f : t)
-            trailers += f.name + "=" + f.value + ";";
+    int message_ends = 0, fault_status = 0;
+    bool on_head(Head& head) override { return heads.push_back(head), true; }
+    void on_body(std::string_view bytes) override { body += bytes; }
+    void on_message_end(Fields& fields) override {
+        ++message_ends;
+        for (const Field& field : fields)
+            trailers += field.name + "=" + field.value + ";";
     }
-    void on_fault(const Fault& f) override { fault = f.status; }
+    void on_fault(const Fault& reported) override { fault_status = reported.status; }
 };
-// Feeds in pieces of `step` bytes, as many messages as there are.
+// Feeds all messages in pieces of `step` bytes.
 void feed(Parser& parser, const std::string& all, std::size_t step) {
     std::string pending;
     for (std::size_t i = 0; i < all.size() || !pending.empty();) {
-        const std::size_t n = std::min(step, all.size() - std::min(i, all.size()));
-        pending += all.substr(std::min(i, all.size()), n);
-        i += n;
-        const std::size_t taken = parser.feed(pending);
-        pending.erase(0, taken);
+        const std::size_t size = std::min(step, all.size() - std::min(i, all.size()));
+        pending += all.substr(std::min(i, all.size()), size);
+        i += size;
+        const std::size_t consumed = parser.feed(pending);
+        pending.erase(0, consumed);
         if (parser.done())
             parser.reset();
-        else if (taken == 0 && n == 0)
+        else if (consumed == 0 && size == 0)
             break;
     }
 }
 }  // namespace
 
-TEST(Head, WhatTwoProgramsCouldReadDifferentlyIsRefused) {
+TEST(Head, RejectsAmbiguousHeads) {
     const std::string line = "POST / HTTP/1.1\r\nHost: h\r\n";
     EXPECT_EQ(status_of(line), 0);
     EXPECT_EQ(status_of(line + "Content-Length: 5\r\n"), 0);
-    for (const char* bad :
+    for (const char* invalid :
          {"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
           "Content-Length: 5\r\nContent-Length: 5\r\n", "Content-Length: +5\r\n",
           "Content-Length: -5\r\n", "Content-Length: 5, 5\r\n", "Content-Length: 0x5\r\n",
@@ -56,7 +57,7 @@
           " X: a\r\n", "X\r\n", ": a\r\n", "X: a\rb\r\n",
           "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "Host: other\r\n",
           "X: \x01\r\n", "X y: a\r\n", "Content-Length: 5\nX: a\r\n"})
-        EXPECT_EQ(status_of(line + bad), 400) << bad;
+        EXPECT_EQ(status_of(line + invalid), 400) << invalid;
     EXPECT_EQ(status_of(line + std::string("X: a\0b\r\n", 8)), 400);
     EXPECT_EQ(status_of(line + "Transfer-Encoding: gzip, chunked\r\n"), 501);
     EXPECT_EQ(status_of(line + "Transfer-Encoding: xchunked\r\n"), 501);
@@ -65,10 +66,11 @@
     EXPECT_EQ(status_of("GET / HTTP/1.1\r\n"), 400) << "no Host";
     EXPECT_EQ(status_of("GET / HTTP/1.0\r\n"), 0);
     EXPECT_EQ(status_of("GET / HTTP/2.0\r\nHost: h\r\n"), 505);
-    for (const char* bad : {"GET  / HTTP/1.1\r\nHost: h\r\n", "GET /\r\nHost: h\r\n",
-                            "G(T / HTTP/1.1\r\nHost: h\r\n", "GET /\t HTTP/1.1\r\nHost: h\r\n",
-                            "GET / HTTP/1.1 \r\nHost: h\r\n", "GET / HTTP/1.1\r\nHost: a/b\r\n"})
-        EXPECT_EQ(status_of(bad), 400) << bad;
+    for (const char* invalid :
+         {"GET  / HTTP/1.1\r\nHost: h\r\n", "GET /\r\nHost: h\r\n", "G(T / HTTP/1.1\r\nHost: h\r\n",
+          "GET /\t HTTP/1.1\r\nHost: h\r\n", "GET / HTTP/1.1 \r\nHost: h\r\n",
+          "GET / HTTP/1.1\r\nHost: a/b\r\n"})
+        EXPECT_EQ(status_of(invalid), 400) << invalid;
     EXPECT_EQ(
         status_of("GET /" + std::string(100, 'a') + " HTTP/1.1\r\nHost: h\r\n", {50, 1000, 100}),
         414);
@@ -76,90 +78,91 @@
     EXPECT_EQ(status_of(line + "A: 1\r\nB: 2\r\n", {50, 500, 2}), 431);
 }
 
-TEST(Head, EarlyWordOnHeadsThatWillNeverPass) {
+TEST(Head, RejectsInvalidPartialHeads) {
     EXPECT_EQ(check_partial_head("GET /" + std::string(200, 'a'), {100, 1000, 10})->status, 414);
     EXPECT_EQ(check_partial_head("GET / HTTP/1.1\r\nX: " + std::string(2000, 'a'), {100, 1000, 10})
                   ->status,
               431);
     EXPECT_EQ(check_partial_head("GET / HTTP/1.1\nHost: h\n\n", {})->status, 400)
-        << "bare LF would wait for ever";
+        << "the end of a head with bare LF would never be found";
     EXPECT_FALSE(check_partial_head("GET / HTTP/1.1\r\nHost: h\r\n", {}));
 }
 
-TEST(Head, SoundIdentitiesOnly) {
+TEST(Head, ValidatesRequestIdsAndTraceparents) {
     EXPECT_TRUE(is_valid_request_id("a-B_9."));
-    for (const std::string& bad : {std::string(), std::string(65, 'a'), std::string("a b"),
-                                   std::string("a\r\nX: y"), std::string("\xc3\xa9")})
-        EXPECT_FALSE(is_valid_request_id(bad));
+    for (const std::string& invalid : {std::string(), std::string(65, 'a'), std::string("a b"),
+                                       std::string("a\r\nX: y"), std::string("\xc3\xa9")})
+        EXPECT_FALSE(is_valid_request_id(invalid));
     EXPECT_TRUE(is_valid_traceparent("00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"));
     EXPECT_FALSE(is_valid_traceparent("00-00000000000000000000000000000000-b7ad6b7169203331-01"));
     EXPECT_FALSE(is_valid_traceparent("00-0AF7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"));
     EXPECT_FALSE(is_valid_traceparent("ff"));
 }
 
-TEST(Head, DatesAreWrittenAsTheSpecificationHasThem) {
+TEST(Head, FormatsHttpDates) {
     EXPECT_EQ(format_http_date(784111777), "Sun, 06 Nov 1994 08:49:37 GMT");
 }
 
-TEST(Head, HopByHopFieldsAreThoseNamedAndThoseAlways) {
+TEST(Head, RecognizesHopByHopFields) {
     const Fields fields = {{"Connection", "close, X-Mine"}, {"Connection", "keep-alive"}};
-    const auto words = connection_options(fields);
-    EXPECT_TRUE(is_hop_by_hop(words, "x-mine"));
-    EXPECT_TRUE(is_hop_by_hop(words, "TE"));
-    EXPECT_FALSE(is_hop_by_hop(words, "Accept"));
+    const auto options = connection_options(fields);
+    EXPECT_TRUE(is_hop_by_hop(options, "x-mine"));
+    EXPECT_TRUE(is_hop_by_hop(options, "TE"));
+    EXPECT_FALSE(is_hop_by_hop(options, "Accept"));
     EXPECT_TRUE(list_contains(fields, "connection", "KEEP-ALIVE"));
 }
 
-TEST(Parser, AnyCutOfTheBytesGivesTheSameMessages) {
+TEST(Parser, ParsesTheSameForEverySplit) {
     const std::string all =
         "\r\nPOST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: "
         "chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\n"
         "GET /b HTTP/1.1\r\nHost: h\r\n\r\nPUT /c HTTP/1.1\r\nHost: h\r\nContent-Length: "
         "2\r\n\r\nxy";
     for (std::size_t step = 1; step <= all.size(); ++step) {
-        Seen seen;
-        Parser parser(Parser::Kind::request, seen);
+        RecordedEvents events;
+        Parser parser(Parser::Kind::request, events);
         feed(parser, all, step);
-        ASSERT_EQ(seen.ends, 3) << step;
-        EXPECT_EQ(seen.body, "abcdexy");
-        EXPECT_EQ(seen.heads[1].target, "/b");
-        EXPECT_EQ(seen.heads[2].content_length, 2u);
-        EXPECT_EQ(seen.trailers, "T=v;");
+        ASSERT_EQ(events.message_ends, 3) << step;
+        EXPECT_EQ(events.body, "abcdexy");
+        EXPECT_EQ(events.heads[1].target, "/b");
+        EXPECT_EQ(events.heads[2].content_length, 2u);
+        EXPECT_EQ(events.trailers, "T=v;");
         EXPECT_TRUE(parser.idle());
     }
 }
 
-TEST(Parser, BadChunksAndCutMessagesAreFaults) {
-    for (const char* bad :
+TEST(Parser, ReportsInvalidChunksAndTruncatedMessages) {
+    for (const char* invalid :
          {"zz\r\n", "3\r\nabcd\r\n", "-1\r\n", "3\nabc\r\n", "fffffffffffffffff\r\n"}) {
-        Seen seen;
-        Parser parser(Parser::Kind::request, seen);
+        RecordedEvents events;
+        Parser parser(Parser::Kind::request, events);
         parser.feed(
-            std::string("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n") + bad);
-        EXPECT_EQ(seen.fault, 400) << bad;
-        EXPECT_EQ(seen.ends, 0);
+            std::string("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n") +
+            invalid);
+        EXPECT_EQ(events.fault_status, 400) << invalid;
+        EXPECT_EQ(events.message_ends, 0);
     }
-    Seen seen;
-    Parser parser(Parser::Kind::response, seen);
+    RecordedEvents events;
+    Parser parser(Parser::Kind::response, events);
     parser.feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab");
     parser.finish();
-    EXPECT_EQ(seen.fault, 400);
+    EXPECT_EQ(events.fault_status, 400);
 }
 
-// Found at first contact: what is read too leniently here, another program on the way reads as the
-// next message.
-TEST(Parser, ChunksByTheGrammarAloneBothWays) {
+// Guards against request smuggling: bytes that this parser accepts too leniently may be read as the
+// next message by another program on the path.
+TEST(Parser, ValidatesChunksOfRequestsAndResponses) {
     const std::string request = "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n";
-    const std::string answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    const auto run = [&](bool requests, const std::string& body, std::size_t step) {
-        Seen seen;
-        Parser parser(requests ? Parser::Kind::request : Parser::Kind::response, seen);
-        feed(parser, (requests ? request : answer) + body, step);
-        return seen;
+    const std::string response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    const auto run = [&](bool is_request, const std::string& body, std::size_t step) {
+        RecordedEvents events;
+        Parser parser(is_request ? Parser::Kind::request : Parser::Kind::response, events);
+        feed(parser, (is_request ? request : response) + body, step);
+        return events;
     };
-    for (const bool requests : {true, false})
+    for (const bool is_request : {true, false})
         for (const std::size_t step : {std::size_t{1}, std::size_t{1000}}) {
-            for (const char* bad :
+            for (const char* invalid :
                  {"5\r\nhelloXX\r\n0\r\n\r\n", "5;a=b\nhello\r\n0\r\n\r\n",
                   "5 \r\nhello\r\n0\r\n\r\n", "5\r\nhello\r\n0\r\nT : v\r\n\r\n",
                   "5\r\nhello\n0\r\n\r\n", "5\r\nhello\r\r\n0\r\n\r\n", "5;\r\nhello\r\n0\r\n\r\n",
@@ -168,45 +171,45 @@
                   "5\r\nhello\r\n0\r\n T: v\r\n\r\n", "5\r\nhello\r\n0\r\nT: v\n\r\n",
                   "5\r\nhello\r\n0\r\nT: v\r\n x\r\n\r\n", "5\r\nhello\r\n0\r\nT: a\x01\r\n\r\n",
                   "+5\r\nhello\r\n0\r\n\r\n", "5\r\nhello\r\n0\r\n\n"}) {
-                const Seen seen = run(requests, bad, step);
-                EXPECT_EQ(seen.fault, requests ? 400 : 502) << bad;
-                EXPECT_EQ(seen.ends, 0) << bad;
+                const RecordedEvents events = run(is_request, invalid, step);
+                EXPECT_EQ(events.fault_status, is_request ? 400 : 502) << invalid;
+                EXPECT_EQ(events.message_ends, 0) << invalid;
             }
-            for (const char* good :
+            for (const char* valid :
                  {"5\r\nhello\r\n0\r\n\r\n", "5;a=b;c;d=\"e \\\" f\"\r\nhello\r\n0\r\n\r\n",
                   "2\r\nhe\r\n003\r\nllo\r\n0000\r\nT: v\r\nU:\r\n\r\n",
                   "2\r\nhe\r\n3;x\r\nllo\r\n0;y=z\r\n\r\n"}) {
-                const Seen seen = run(requests, good, step);
-                EXPECT_EQ(seen.fault, 0) << good;
-                EXPECT_EQ(seen.ends, 1) << good;
-                EXPECT_EQ(seen.body, "hello") << good;
+                const RecordedEvents events = run(is_request, valid, step);
+                EXPECT_EQ(events.fault_status, 0) << valid;
+                EXPECT_EQ(events.message_ends, 1) << valid;
+                EXPECT_EQ(events.body, "hello") << valid;
             }
         }
-    EXPECT_EQ(run(true, "5;" + std::string(2000, 'a') + "\r\n", 1000).fault, 400);
-    EXPECT_EQ(run(true, "0\r\nT: " + std::string(9000, 'a') + "\r\n\r\n", 1000).fault, 400);
+    EXPECT_EQ(run(true, "5;" + std::string(2000, 'a') + "\r\n", 1000).fault_status, 400);
+    EXPECT_EQ(run(true, "0\r\nT: " + std::string(9000, 'a') + "\r\n\r\n", 1000).fault_status, 400);
 }
 
-TEST(Parser, AnswersOfEveryForm) {
-    Seen seen;
-    Parser parser(Parser::Kind::response, seen);
+TEST(Parser, ParsesResponsesOfEveryForm) {
+    RecordedEvents events;
+    Parser parser(Parser::Kind::response, events);
     feed(
         parser,
         "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
         7);
-    ASSERT_EQ(seen.heads.size(), 1u) << "1xx is passed over";
-    EXPECT_EQ(seen.body, "ok");
+    ASSERT_EQ(events.heads.size(), 1u) << "1xx responses are skipped";
+    EXPECT_EQ(events.body, "ok");
     parser.set_response_to_head(true);
     feed(parser, "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n", 9);
-    EXPECT_EQ(seen.ends, 2);
+    EXPECT_EQ(events.message_ends, 2);
     parser.set_response_to_head(false);
     parser.feed("HTTP/1.0 200 OK\r\n\r\nuntil the end");
-    EXPECT_EQ(seen.ends, 2);
+    EXPECT_EQ(events.message_ends, 2);
     parser.finish();
-    EXPECT_EQ(seen.ends, 3);
-    EXPECT_TRUE(seen.heads.back().until_close);
+    EXPECT_EQ(events.message_ends, 3);
+    EXPECT_TRUE(events.heads.back().until_close);
 }
 
-TEST(Report, OrcaTextAndJson) {
+TEST(LoadReport, ParsesOrcaTextAndJson) {
     const auto text = upstream_http::parse_load_report(
         "TEXT cpu_utilization=0.5, named_metrics.queue=3,named_metrics.inflight=7,other=x");
     EXPECT_EQ(text.utilization, 0.5);
@@ -216,12 +219,12 @@
         R"(JSON {"cpu_utilization": 0.25, "named_metrics": {"queue": 2}})");
     EXPECT_EQ(json.utilization, 0.25);
     EXPECT_EQ(json.queued_requests, 2);
-    for (const char* bad : {"", "BIN abc", "TEXT queue", "TEXT named_metrics.queue=-4", "JSON [",
-                            "TEXT named_metrics.queue=nan"})
-        EXPECT_LT(upstream_http::parse_load_report(bad).queued_requests, 0) << bad;
+    for (const char* invalid : {"", "BIN abc", "TEXT queue", "TEXT named_metrics.queue=-4",
+                                "JSON [", "TEXT named_metrics.queue=nan"})
+        EXPECT_LT(upstream_http::parse_load_report(invalid).queued_requests, 0) << invalid;
 }
 
-TEST(EndpointList, AListWithOneInvalidEntryIsInvalid) {
+TEST(EndpointList, RejectsAListWithOneInvalidEntry) {
     const auto list = [](const std::string& endpoint) {
         return R"({"versionInfo":"7","resources":[{"clusterName":"hosts","endpoints":[{"locality":{"zone":"a"},"lbEndpoints":[)" +
                endpoint + "]}]}]}";
@@ -239,31 +242,32 @@
     EXPECT_EQ(parsed.endpoints[0].entry.zone, "a");
     EXPECT_EQ(parsed.endpoints[0].addresses, std::vector<std::string>{"127.0.0.1:81"});
     for (
-        const std::string& bad :
+        const std::string& invalid :
         {std::string("{"), std::string("{}"), list(one + "," + one), list("{}"),
          list(R"({"endpoint":{"address":{"socketAddress":{"address":"1.2.3.4","portValue":0}}}})"),
          list(
              R"({"endpoint":{"address":{"socketAddress":{"address":"1.2.3.4","portValue":1}}},"healthStatus":"FINE"})")}) {
         problems.clear();
-        EXPECT_FALSE(discovery::parse_endpoint_list(bad, "s", "hosts", parsed, problems)) << bad;
+        EXPECT_FALSE(discovery::parse_endpoint_list(invalid, "s", "hosts", parsed, problems))
+            << invalid;
         EXPECT_FALSE(problems.empty());
     }
 }
 
-TEST(StartTimeConverter, AStartIsConvertedOnce) {
-    discovery::StartTimeConverter starts;
-    const Micros first = starts.convert("a", 1000, Micros(50'000'000), 3000);
+TEST(StartTimeConverter, ConvertsAStartOnce) {
+    discovery::StartTimeConverter converter;
+    const Micros first = converter.convert("a", 1000, Micros(50'000'000), 3000);
     EXPECT_EQ(first, Micros(48'000'000));
-    EXPECT_EQ(starts.convert("a", 1000, Micros(60'000'000), 99'000), first)
-        << "a step of the wall clock does not move it";
-    EXPECT_EQ(starts.convert("a", 0, Micros(1), 1), Micros(0));
-    EXPECT_EQ(starts.convert("b", 1, Micros(5), 100'000), Micros(1))
-        << "a start before this clock began is still a start";
-    EXPECT_EQ(starts.convert("c", 5000, Micros(70), 3000), Micros(70))
-        << "a start in the future is now";
+    EXPECT_EQ(converter.convert("a", 1000, Micros(60'000'000), 99'000), first)
+        << "a step of the wall clock does not change a converted start";
+    EXPECT_EQ(converter.convert("a", 0, Micros(1), 1), Micros(0));
+    EXPECT_EQ(converter.convert("b", 1, Micros(5), 100'000), Micros(1))
+        << "a start before the origin of the clock is not converted to 0, which means long ago";
+    EXPECT_EQ(converter.convert("c", 5000, Micros(70), 3000), Micros(70))
+        << "a start in the future becomes the current time";
 }
 
-TEST(Envelope, ForeignDatagramsAreDroppedWithTheReason) {
+TEST(Envelope, ReportsWhyDatagramsAreDropped) {
     using namespace silverreach::peers;
     const std::string datagram = encode_envelope("hello", 2, "birds");
     EXPECT_EQ(decode_envelope(datagram, "birds", 3).payload, "hello");
@@ -277,7 +281,7 @@
               DropReason::truncated);
     EXPECT_EQ(decode_envelope("GET / HTTP/1.1", "birds", 3).drop_reason,
               DropReason::foreign_protocol);
-    std::string other = datagram;
-    other[4] = 9;
-    EXPECT_EQ(decode_envelope(other, "birds", 3).drop_reason, DropReason::version_mismatch);
+    std::string other_version = datagram;
+    other_version[4] = 9;
+    EXPECT_EQ(decode_envelope(other_version, "birds", 3).drop_reason, DropReason::version_mismatch);
 }
--- a/tests/resp/command_parser_test.cpp
+++ b/tests/resp/command_parser_test.cpp
@@ -1,4 +1,4 @@
-// Commands whose lengths are wrong.
+// Tests commands with invalid lengths.
 #include "resp/command_parser.h"
 
 #include <gtest/gtest.h>
@@ -19,17 +19,18 @@
           "*1\r\n$4\r\nPINGx", "*1\r\n$4\r\nPING\rx"})
         EXPECT_EQ(parse_once(malformed), ParseStatus::malformed) << malformed;
     EXPECT_EQ(parse_once("*2\r\n$65536\r\n"), ParseStatus::incomplete);
-    // Two values that are each within their limit exceed that of a command.
+    // Two values, each within its own limit, exceed the limit of a command.
     const std::string first = "*2\r\n$65536\r\n" + std::string(65536, 'a') + "\r\n";
     EXPECT_EQ(parse_once(first + "$4096\r\n"), ParseStatus::malformed);
     EXPECT_EQ(parse_once(first + "$16\r\n"), ParseStatus::incomplete);
 }
 
-TEST(CommandParser, NamesItsError) {
+TEST(CommandParser, ReportsItsError) {
     const auto error_of = [](const std::string& bytes) {
         CommandParser parser;
         EXPECT_EQ(parser.parse(bytes), ParseStatus::malformed) << bytes;
-        EXPECT_EQ(parser.parse(bytes), ParseStatus::malformed) << "it stays malformed: " << bytes;
+        EXPECT_EQ(parser.parse(bytes), ParseStatus::malformed)
+            << "the parser stays in the malformed state: " << bytes;
         return parser.error();
     };
     EXPECT_EQ(error_of("PING\r\n"), ParseError::expected_array);
--- a/tests/resp/feed.h
+++ b/tests/resp/feed.h
@@ -9,8 +9,8 @@
 namespace resp_test {
 
 struct FeedResult {
-    silverreach::resp::ParseStatus status;  // the first that is not `incomplete`, if any
-    std::size_t bytes;                      // fed until then
+    silverreach::resp::ParseStatus status;  // the first other than `incomplete`, if any
+    std::size_t bytes;                      // fed up to that status
 };
 
 template <typename Parser>
--- a/tests/resp/reply_parser_test.cpp
+++ b/tests/resp/reply_parser_test.cpp
@@ -1,4 +1,4 @@
-// Replies of each type, and malformed ones.
+// Tests replies of each type and malformed replies.
 #include "resp/reply_parser.h"
 
 #include <gtest/gtest.h>
@@ -31,6 +31,6 @@
           "*3\r\n$2\r\nokay\r\n", "+a\nb\r\n", "*70000\r\n"})
         EXPECT_EQ(parse_once(malformed), ParseStatus::malformed) << malformed;
     EXPECT_EQ(parse_once("+" + std::string(10000, 'x')), ParseStatus::malformed)
-        << "a line without end";
+        << "a line that exceeds its limit";
     EXPECT_EQ(parse_once("+" + std::string(100, 'x')), ParseStatus::incomplete);
 }
--- a/tests/resp/split_input_test.cpp
+++ b/tests/resp/split_input_test.cpp
@@ -1,4 +1,4 @@
-// Both parsers against every split of their input, and against noise.
+// Tests that both parsers give the same result for every split of valid and random input.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -27,33 +27,34 @@
             argument = *rc::gen::arbitrary<std::string>();
         const std::string bytes = command_of(arguments);
         const std::string all = bytes + "*1\r\n";
-        const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size());
+        const auto split = *rc::gen::inRange<std::size_t>(0, bytes.size());
         CommandParser parser;
-        RC_ASSERT(parser.parse(std::string_view(all).substr(0, cut)) == ParseStatus::incomplete);
+        RC_ASSERT(parser.parse(std::string_view(all).substr(0, split)) == ParseStatus::incomplete);
         RC_ASSERT(parser.parse(all) == ParseStatus::complete);
         RC_ASSERT(parser.consumed() == bytes.size());
         RC_ASSERT(parser.argument_count() == arguments.size());
         for (std::size_t i = 0; i < arguments.size(); ++i)
             RC_ASSERT(parser.argument(all, i) == arguments[i]);
-        CommandParser slow;
-        const auto [status, fed] = feed_byte_by_byte(slow, bytes);
+        CommandParser bytewise_parser;
+        const auto [status, consumed] = feed_byte_by_byte(bytewise_parser, bytes);
         RC_ASSERT(status == ParseStatus::complete);
-        RC_ASSERT(fed == bytes.size());
+        RC_ASSERT(consumed == bytes.size());
     }));
 }
 
-TEST(CommandParser, NoiseParsesTheSameForEverySplit) {
+TEST(CommandParser, ParsesNoiseTheSameForEverySplit) {
     EXPECT_TRUE(rc::check([] {
         const auto bytes = *rc::gen::container<std::string>(
             rc::gen::element('*', '$', '-', '+', ':', '0', '1', '3', '\r', '\n', 'a', '\0'));
-        CommandParser at_once;
-        CommandParser slow;
-        const ParseStatus status = at_once.parse(bytes);
-        const auto [slow_status, fed] = feed_byte_by_byte(slow, bytes);
-        RC_ASSERT(status == slow_status);
-        if (status == ParseStatus::complete) RC_ASSERT(at_once.consumed() == fed);
-        ReplyParser reply_at_once;
-        ReplyParser slow_reply;
-        RC_ASSERT(reply_at_once.parse(bytes) == feed_byte_by_byte(slow_reply, bytes).status);
+        CommandParser complete_parser;
+        CommandParser bytewise_parser;
+        const ParseStatus status = complete_parser.parse(bytes);
+        const auto [bytewise_status, consumed] = feed_byte_by_byte(bytewise_parser, bytes);
+        RC_ASSERT(status == bytewise_status);
+        if (status == ParseStatus::complete) RC_ASSERT(complete_parser.consumed() == consumed);
+        ReplyParser complete_reply_parser;
+        ReplyParser bytewise_reply_parser;
+        RC_ASSERT(complete_reply_parser.parse(bytes) ==
+                  feed_byte_by_byte(bytewise_reply_parser, bytes).status);
     }));
 }
