--- a/src/frontend/common/connection_manager.cpp
+++ b/src/frontend/common/connection_manager.cpp
@@ -9,7 +9,9 @@
     : loop_(loop), policy_(policy), factory_(std::move(factory)), deferred_deletion_(loop) {
     listener_ = std::make_unique<event::Listener>(
         loop, listen.ip, listen.port, listen.v6, [this] { return ensure_capacity(); },
-        [this](event::Fd fd, std::string client) { accept(std::move(fd), std::move(client)); });
+        [this](event::Fd fd, std::string client_address) {
+            accept(std::move(fd), std::move(client_address));
+        });
     if (policy_.sweep_period > Micros(0)) sweep();
 }
 
@@ -54,9 +56,10 @@
     return candidate != nullptr;
 }
 
-void ConnectionManager::accept(event::Fd fd, std::string client) {
+void ConnectionManager::accept(event::Fd fd, std::string client_address) {
     ++stats_.accepted;
-    connections_.push_back(factory_(std::move(fd), std::move(client), listener_->waiting_since()));
+    connections_.push_back(
+        factory_(std::move(fd), std::move(client_address), listener_->waiting_since()));
     connections_.back()->slot_ = connections_.size() - 1;
 }
 
--- a/src/frontend/common/connection_manager.h
+++ b/src/frontend/common/connection_manager.h
@@ -43,9 +43,10 @@
         std::uint64_t rejected = 0;  // at the limit, without a connection to evict
         std::uint64_t evicted = 0;   // for a new connection
     };
-    // Creates a connection of the protocol for an accepted socket. `client`: the peer's address.
+    // Creates a connection of the protocol for an accepted socket. `client_address`: the peer's
+    // address.
     using Factory = std::function<std::unique_ptr<ClientConnection>(
-        event::Fd fd, std::string client, Micros waiting_since)>;
+        event::Fd fd, std::string client_address, Micros waiting_since)>;
     // Starts to listen. Throws event::SystemError if it cannot listen on the address.
     ConnectionManager(event::Loop& loop, const config::Endpoint& listen,
                       const ConnectionPolicy& policy, Factory factory);
@@ -85,7 +86,7 @@
 
   private:
     bool ensure_capacity();
-    void accept(event::Fd fd, std::string client);
+    void accept(event::Fd fd, std::string client_address);
     ClientConnection* find_eviction_candidate() const;
     void sweep();
 
--- a/src/frontend/http/frontend.cpp
+++ b/src/frontend/http/frontend.cpp
@@ -32,12 +32,12 @@
                config::plan_index(config, config.api().anonymous_plan()),
                fmt::format("silverreach-{}", config.peers().rank()),
                RequestResolver(config, accounts)},
-      connections_(loop, *config::parse_endpoint(config.listen().address()),
-                   policy_of(config.listen()),
-                   [this](event::Fd fd, std::string client, Micros waiting_since) {
-                       return std::make_unique<HttpConnection>(
-                           context_, connections_, std::move(fd), std::move(client), waiting_since);
-                   }) {}
+      connections_(
+          loop, *config::parse_endpoint(config.listen().address()), policy_of(config.listen()),
+          [this](event::Fd fd, std::string client_address, Micros waiting_since) {
+              return std::make_unique<HttpConnection>(context_, connections_, std::move(fd),
+                                                      std::move(client_address), waiting_since);
+          }) {}
 
 bool Frontend::has_unfinished_work() const {
     return connections_.listening() || connections_.any_of([](const ClientConnection& connection) {
--- a/src/frontend/resp/resp_connection.cpp
+++ b/src/frontend/resp/resp_connection.cpp
@@ -95,9 +95,9 @@
 // Handles complete commands while there is capacity for their responses.
 RespConnection::ReadResult RespConnection::read_batch(std::size_t& consumed) {
     std::string_view rest = input_;
-    for (std::size_t n = 0; state_ == State::open && !rest.empty(); ++n) {
+    for (std::size_t handled = 0; state_ == State::open && !rest.empty(); ++handled) {
         if (must_defer_commands()) return ReadResult::no_capacity;
-        if (n == max_commands_per_turn) return ReadResult::turn_limit_reached;
+        if (handled == max_commands_per_turn) return ReadResult::turn_limit_reached;
         const wire::ParseStatus status = parser_.parse(rest);
         if (status == wire::ParseStatus::incomplete) break;
         if (status == wire::ParseStatus::malformed) {
