--- a/src/frontend/common/connection_manager.cpp
+++ b/src/frontend/common/connection_manager.cpp
@@ -9,14 +9,17 @@
     : loop_(loop), policy_(policy), factory_(std::move(factory)), deferred_deletion_(loop) {
     listener_ = std::make_unique<event::Listener>(
         loop, listen.ip, listen.port, listen.is_ipv6, [this] { return ensure_capacity(); },
-        [this](event::Fd fd, std::string client) { accept(std::move(fd), std::move(client)); });
+        [this](event::Fd fd, std::string client_address) {
+            accept(std::move(fd), std::move(client_address));
+        });
     if (policy_.sweep_period > Micros(0)) sweep();
 }
 
 bool ConnectionManager::ensure_capacity() {
-    const std::size_t counted = connections_.size() - (policy_.max_lingering ? lingering_ : 0);
-    if (counted < policy_.max_connections) return true;
-    ClientConnection* candidate = policy_.evict_idle ? eviction_candidate() : nullptr;
+    const std::size_t counted_connections =
+        connections_.size() - (policy_.max_lingering ? lingering_ : 0);
+    if (counted_connections < policy_.max_connections) return true;
+    ClientConnection* candidate = policy_.evict_idle ? find_eviction_candidate() : nullptr;
     if (!candidate) {
         ++stats_.rejected;
         return false;
@@ -26,19 +29,20 @@
     return true;
 }
 
-// One that has sent no complete message before an idle one, the longest waiting first.
-ClientConnection* ConnectionManager::eviction_candidate() const {
+// Prefers a connection without a complete message to an idle one, and among equals the one that has
+// waited longest.
+ClientConnection* ConnectionManager::find_eviction_candidate() const {
     using Priority = ClientConnection::EvictionPriority;
     ClientConnection* best = nullptr;
     Priority best_priority = Priority::none;
     for (const auto& connection : connections_) {
         const Priority priority = connection->eviction_priority();
-        if (connection->lingering() || priority == Priority::none) continue;
+        if (connection->is_lingering() || priority == Priority::none) continue;
         const bool better =
             !best || priority > best_priority ||
             (priority == best_priority && connection->wait_started() < best->wait_started());
         if (!better) continue;
-        if (priority == Priority::idle && !connection->at_rest()) continue;
+        if (priority == Priority::idle && !connection->is_quiescent()) continue;
         best = connection.get();
         best_priority = priority;
     }
@@ -47,14 +51,15 @@
 
 bool ConnectionManager::close_idle() {
     if (lingering_ > 0) return true;
-    ClientConnection* candidate = eviction_candidate();
+    ClientConnection* candidate = find_eviction_candidate();
     if (candidate) candidate->evict();
     return candidate != nullptr;
 }
 
-void ConnectionManager::accept(event::Fd fd, std::string client) {
+void ConnectionManager::accept(event::Fd fd, std::string client_address) {
     ++stats_.accepted;
-    connections_.push_back(factory_(std::move(fd), std::move(client), listener_->waiting_since()));
+    connections_.push_back(
+        factory_(std::move(fd), std::move(client_address), listener_->waiting_since()));
     connections_.back()->slot_ = connections_.size() - 1;
 }
 
@@ -63,7 +68,7 @@
     if (!policy_.max_lingering || lingering_ <= *policy_.max_lingering) return;
     ClientConnection* longest = nullptr;
     for (const auto& other : connections_) {
-        if (!other->lingering() || other.get() == &connection) continue;
+        if (!other->is_lingering() || other.get() == &connection) continue;
         if (!longest || other->wait_started() < longest->wait_started()) longest = other.get();
     }
     (longest ? *longest : connection).abort_lingering();
@@ -71,7 +76,7 @@
 
 void ConnectionManager::remove(ClientConnection& connection) {
     const std::size_t slot = connection.slot_;
-    if (connection.lingering()) --lingering_;
+    if (connection.is_lingering()) --lingering_;
     deferred_deletion_.schedule(std::move(connections_[slot]));
     if (slot + 1 != connections_.size()) {
         connections_[slot] = std::move(connections_.back());
@@ -85,7 +90,7 @@
     drain_.start(deadline);
 }
 
-// A check may remove its connection and, by a close that frees others, more than one.
+// A check may remove its connection, and further connections whose end that close causes.
 void ConnectionManager::check_timeouts() {
     for (std::size_t i = connections_.size(); i-- > 0;)
         if (i < connections_.size()) connections_[i]->check_timeouts();
--- a/src/frontend/http/local_reply.cpp
+++ b/src/frontend/http/local_reply.cpp
@@ -14,7 +14,7 @@
     int status;
     std::string_view title;
 };
-// By RejectReason. The types are part of the protocol and stay as they are.
+// Indexed by RejectReason. The types are part of the protocol and must not change.
 constexpr std::array<Rejection, 7> rejections{{
     {"quota", 429, "The account's quota is spent"},
     {"ceiling", 429, "The account's ceiling is reached"},
@@ -36,13 +36,14 @@
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
 }
 
-// Rounded up: a client that comes back at that time is not early.
+// Rounds up so that a client that retries at that time is not too early.
 void append_retry_after(std::string& out, Micros retry_after) {
-    const auto seconds = std::chrono::ceil<std::chrono::seconds>(retry_after).count();
-    append_field(out, "Retry-After", fmt::format_int(std::max<std::int64_t>(seconds, 0)).c_str());
+    const auto retry_after_seconds = std::chrono::ceil<std::chrono::seconds>(retry_after).count();
+    append_field(out, "Retry-After",
+                 fmt::format_int(std::max<std::int64_t>(retry_after_seconds, 0)).c_str());
     if (retry_after <= Micros(0)) return;
-    const auto ms = std::chrono::ceil<std::chrono::milliseconds>(retry_after).count();
-    append_field(out, "Retry-After-Ms", fmt::format_int(ms).c_str());
+    const auto retry_after_ms = std::chrono::ceil<std::chrono::milliseconds>(retry_after).count();
+    append_field(out, "Retry-After-Ms", fmt::format_int(retry_after_ms).c_str());
 }
 
 bool shows_retry_after(int status) {
@@ -100,7 +101,7 @@
     if (!request_id.empty()) append_field(out, "X-Request-Id", request_id);
     if (shows_retry_after(reply.status)) append_retry_after(out, reply.retry_after);
     out += reply.extra_fields;
-    append_connection_field(out, client.keep_alive, client.minor);
+    append_connection_field(out, client.keep_alive, client.minor_version);
     out += "\r\n";
     return client.head_method ? out : out + body;
 }
--- a/src/frontend/http/message_translation.cpp
+++ b/src/frontend/http/message_translation.cpp
@@ -9,36 +9,37 @@
 
 namespace silverreach::frontend::http {
 namespace {
-constexpr std::size_t usual_head_bytes = 512;
+constexpr std::size_t initial_head_bytes = 512;
 
 std::string quote_address(const std::string& address) {
     return address.find(':') == std::string::npos ? address : "\"[" + address + "]\"";
 }
 
-// The values of a list field, ready for another element to be appended.
+// Returns the values of a list field in the form to which another element can be appended.
 std::string list_prefix(const wire::Fields& fields, std::string_view name) {
     std::string prefix;
     for (const wire::Field& field : fields)
-        if (wire::same_name(field.name, name)) prefix += field.value + ", ";
+        if (wire::equals_ignore_case(field.name, name)) prefix += field.value + ", ";
     return prefix;
 }
 
-// Copies the end-to-end fields but for `dropped`, most of which the gateway sets itself.
-// `connection`: the words of the head's Connection field.
+// Appends the end-to-end fields except `dropped`, most of which the gateway sets itself.
+// `connection_options`: the options of the head's Connection field.
 void append_end_to_end(std::string& out, const wire::Fields& fields,
-                       const std::vector<std::string_view>& connection,
+                       const std::vector<std::string_view>& connection_options,
                        std::span<const std::string_view> dropped) {
     for (const wire::Field& field : fields) {
-        const bool is_dropped = std::ranges::any_of(
-            dropped, [&](std::string_view name) { return wire::same_name(field.name, name); });
-        if (!is_dropped && !wire::hop_by_hop(connection, field.name))
+        const bool is_dropped = std::ranges::any_of(dropped, [&](std::string_view name) {
+            return wire::equals_ignore_case(field.name, name);
+        });
+        if (!is_dropped && !wire::is_hop_by_hop(connection_options, field.name))
             append_field(out, field.name, field.value);
     }
 }
 
 void append_via(std::string& out, const wire::Head& head, const std::string& via) {
     append_field(out, "Via",
-                 list_prefix(head.fields, "Via") + fmt::format("1.{} {}", head.minor, via));
+                 list_prefix(head.fields, "Via") + fmt::format("1.{} {}", head.minor_version, via));
 }
 
 bool has_no_body(int status) {
@@ -47,8 +48,8 @@
 
 Framing framing_of(const wire::Head& head, const ClientCapabilities& client) {
     if (client.head_method || has_no_body(head.status)) return Framing::none;
-    if (head.has_length) return Framing::length;
-    return client.minor >= 1 ? Framing::chunked : Framing::until_close;
+    if (head.has_content_length) return Framing::content_length;
+    return client.minor_version >= 1 ? Framing::chunked : Framing::until_close;
 }
 }  // namespace
 
@@ -56,10 +57,10 @@
     out.append(name).append(": ").append(value).append("\r\n");
 }
 
-void append_connection_field(std::string& out, bool keep_alive, int minor) {
+void append_connection_field(std::string& out, bool keep_alive, int minor_version) {
     if (!keep_alive)
         append_field(out, "Connection", "close");
-    else if (minor == 0)
+    else if (minor_version == 0)
         append_field(out, "Connection", "keep-alive");
 }
 
@@ -85,12 +86,12 @@
         "Via",    "Forwarded",    "Host",        "Content-Length",
         "Expect", "X-Request-Id", "traceparent", "Silverreach-Attempt"};
     std::string out;
-    out.reserve(usual_head_bytes);
+    out.reserve(initial_head_bytes);
     out.append(head.method).append(" ").append(path).append(" HTTP/1.1\r\n");
     const std::string* host = wire::find(head.fields, "Host");
     append_field(out, "Host", host ? *host : "");
     append_end_to_end(out, head.fields, wire::connection_options(head.fields), dropped);
-    if (body_bytes > 0 || head.chunked || head.has_length)
+    if (body_bytes > 0 || head.chunked || head.has_content_length)
         append_field(out, "Content-Length", fmt::format_int(body_bytes).c_str());
     append_via(out, head, via);
     append_field(out, "Forwarded",
@@ -104,12 +105,12 @@
 std::string response_head_for_client(const wire::Head& head, const ClientCapabilities& client,
                                      const std::string& request_id, const std::string& via,
                                      Framing& framing) {
-    // Content-Length, the last one, is dropped from a 204 only (RFC 9110 8.6).
+    // Content-Length, the last element, is dropped from a 204 only (RFC 9110, section 8.6).
     constexpr std::array<std::string_view, 4> dropped{"Via", "X-Request-Id",
                                                       "endpoint-load-metrics", "Content-Length"};
     framing = framing_of(head, client);
     std::string out;
-    out.reserve(usual_head_bytes);
+    out.reserve(initial_head_bytes);
     out += fmt::format("HTTP/1.1 {} {}\r\n", head.status, wire::reason_phrase(head.status));
     append_end_to_end(
         out, head.fields, wire::connection_options(head.fields),
@@ -120,7 +121,7 @@
         append_field(out, "Date", client.date);
     if (framing == Framing::chunked) append_field(out, "Transfer-Encoding", "chunked");
     append_connection_field(out, client.keep_alive && framing != Framing::until_close,
-                            client.minor);
+                            client.minor_version);
     return out += "\r\n";
 }
 
--- a/src/frontend/resp/resp_connection.cpp
+++ b/src/frontend/resp/resp_connection.cpp
@@ -15,14 +15,14 @@
 constexpr Micros idle_timeout = 8s;
 constexpr Micros unread_timeout = 5s;
 constexpr Micros linger_timeout = 300ms;
-constexpr Micros response_margin = 5ms;  // of the client's time, for the way back and this loop
+constexpr Micros response_margin = 5ms;  // reserved for the response's transfer and this loop
 constexpr std::size_t max_responses = 64;
 constexpr std::size_t max_commands_per_turn = 64;
 constexpr std::size_t max_unread_bytes = std::size_t{256} * 1024;
 constexpr std::size_t max_discarded_bytes = std::size_t{256} * 1024;
 constexpr std::size_t max_read_ahead_bytes = std::size_t{32} * 1024;
-constexpr std::size_t unbudgeted_bytes = 4096;     // a connection may always buffer so much
-constexpr std::size_t idle_input_capacity = 4096;  // bytes that an empty buffer keeps
+constexpr std::size_t guaranteed_input_bytes = 4096;  // per connection, regardless of the budget
+constexpr std::size_t idle_input_capacity = 4096;     // bytes that an empty buffer keeps allocated
 }  // namespace
 
 RespConnection::RespConnection(FrontendContext& context, ConnectionManager& manager, event::Fd fd,
@@ -48,7 +48,7 @@
         if (!discard(bytes.size())) close(CloseReason::linger_flood);
         return;
     }
-    // The client's end may have arrived with the bytes: nobody waits for a response.
+    // If the client has closed its side after these bytes, it does not wait for a response.
     if (peer_closed()) return close(CloseReason::client_ended);
     start_wait(loop().now());
     if (state_ == State::failing) {
@@ -62,8 +62,8 @@
     read_commands();
 }
 
-// The client of commands that waited here may have gone since, its end behind bytes that were not
-// read.
+// The client may have closed its side while its commands waited here; the loop does not report that
+// while unread bytes precede it.
 void RespConnection::resume() {
     if (!reading_commands_ && state_ != State::closed && peer_closed())
         return close(CloseReason::client_ended);
@@ -82,22 +82,22 @@
     account_input(before);
     flush();
     if (state_ == State::closed) return;
-    // What stopped it may have been sent with the flush, and nothing else would resume it.
-    const bool resume_later =
-        result == ReadResult::turn_used || (result == ReadResult::no_capacity && !must_wait());
-    const bool incomplete = !resume_later && !must_wait();
-    if (incomplete && context_.buffer_budget.exceeded() && input_.size() > unbudgeted_bytes)
+    // flush may have removed the reason for stopping, and no other event would resume reading.
+    const bool resume_later = result == ReadResult::turn_limit_reached ||
+                              (result == ReadResult::no_capacity && !must_defer_commands());
+    const bool incomplete = !resume_later && !must_defer_commands();
+    if (incomplete && context_.buffer_budget.exceeded() && input_.size() > guaranteed_input_bytes)
         return fail("too much in hand");
     update_reading();
     if (resume_later) call_later(0us, [this] { resume(); });
 }
 
-// Handles the complete commands, as long as there is capacity for their responses.
+// Handles complete commands while there is capacity for their responses.
 RespConnection::ReadResult RespConnection::read_batch(std::size_t& consumed) {
     std::string_view rest = input_;
-    for (std::size_t n = 0; state_ == State::open && !rest.empty(); ++n) {
-        if (must_wait()) return ReadResult::no_capacity;
-        if (n == max_commands_per_turn) return ReadResult::turn_used;
+    for (std::size_t handled = 0; state_ == State::open && !rest.empty(); ++handled) {
+        if (must_defer_commands()) return ReadResult::no_capacity;
+        if (handled == max_commands_per_turn) return ReadResult::turn_limit_reached;
         const wire::ParseStatus status = parser_.parse(rest);
         if (status == wire::ParseStatus::incomplete) break;
         if (status == wire::ParseStatus::malformed) {
@@ -106,12 +106,12 @@
             break;
         }
         ++commands_;
-        std::vector<std::string_view> words;
+        std::vector<std::string_view> arguments;
         for (std::size_t i = 0; i < parser_.argument_count(); ++i)
-            words.push_back(parser_.argument(rest, i));
+            arguments.push_back(parser_.argument(rest, i));
         consumed += parser_.consumed();
         const Micros now = loop().now();
-        handle_command(words, now - arrivals().time_of(consumed, now));
+        handle_command(arguments, now - arrivals().time_of(consumed, now));
         rest = std::string_view(input_).substr(consumed);
         parser_.reset();
     }
@@ -121,7 +121,7 @@
 void RespConnection::consume_input(std::size_t consumed) {
     input_.erase(0, consumed);
     arrivals().consume(consumed);
-    // After a broken frame nothing is a command any more.
+    // The bytes after a malformed frame cannot be parsed as commands.
     if (state_ != State::open) input_.clear();
     if (input_.empty()) arrivals().consume_all();
     if (input_.empty() && input_.capacity() > idle_input_capacity) input_.shrink_to_fit();
@@ -131,26 +131,27 @@
         incomplete_since_ = loop().now();
 }
 
-bool RespConnection::must_wait() const {
+bool RespConnection::must_defer_commands() const {
     return throttled_ || responses_.size() >= max_responses ||
            stream().queued() >= max_unread_bytes;
 }
 
-// Reads somewhat ahead of the capacity for responses, so that the client's end is seen behind
-// commands that wait; not where all connections together buffer too much.
+// Reads ahead of the capacity for responses, so that the client's close is detected behind waiting
+// commands, but not while all connections together exceed the buffer budget.
 void RespConnection::update_reading() {
     std::size_t max_buffered = wire::ParseLimits{}.max_message_bytes;
-    if (must_wait()) max_buffered = context_.buffer_budget.exceeded() ? 0 : max_read_ahead_bytes;
+    if (must_defer_commands())
+        max_buffered = context_.buffer_budget.exceeded() ? 0 : max_read_ahead_bytes;
     stream().read(input_.size() <= max_buffered);
 }
 
-void RespConnection::handle_command(const std::vector<std::string_view>& words, Micros waited) {
-    const std::string_view command = words.front();
-    if (platform::CommandValidator::is_request(command)) return start_request(words, waited);
-    if (command == "PING" && words.size() == 1) return responses_.add_ready("+PONG\r\n");
-    if (command == "PING" && words.size() == 2) {
+void RespConnection::handle_command(const std::vector<std::string_view>& arguments, Micros waited) {
+    const std::string_view command = arguments.front();
+    if (platform::CommandValidator::is_request(command)) return start_request(arguments, waited);
+    if (command == "PING" && arguments.size() == 1) return responses_.add_ready("+PONG\r\n");
+    if (command == "PING" && arguments.size() == 2) {
         std::string response;
-        wire::append_bulk(response, words[1]);
+        wire::append_bulk(response, arguments[1]);
         return responses_.add_ready(std::move(response));
     }
     if (command == "CLIENT" || command == "SELECT") return responses_.add_ready("+OK\r\n");
@@ -158,8 +159,8 @@
 }
 
 // `waited`: the time since the command's last byte arrived.
-void RespConnection::start_request(const std::vector<std::string_view>& words, Micros waited) {
-    platform::Request request = context_.validator.validate(words);
+void RespConnection::start_request(const std::vector<std::string_view>& arguments, Micros waited) {
+    platform::Request request = context_.validator.validate(arguments);
     if (!request.error.empty()) return reject_command(request.error);
     if (context_.requests.has_client_id(request.id))
         return reject_command("id: a request of that name is open");
@@ -177,7 +178,7 @@
     context_.core.start_request(context_.clock(), id, request.client_request);
 }
 
-void RespConnection::reject_command(std::string_view why) {
+void RespConnection::reject_command(std::string_view reason) {
     ++context_.counters.invalid_commands;
     const Micros pause = throttle_.on_invalid();
     if (pause > 0us && !throttled_) {
@@ -187,7 +188,7 @@
             resume();
         });
     }
-    responses_.add_ready("-ERR " + std::string(why) + "\r\n");
+    responses_.add_ready("-ERR " + std::string(reason) + "\r\n");
 }
 
 // ---- responses ------------------------------------------------------------------------------
@@ -213,24 +214,24 @@
         unread_since_ = 0us;
     else if (unread_since_ == 0us)
         unread_since_ = loop().now();
-    if (drained()) linger(end_reason());
+    if (is_drained()) linger(end_reason());
 }
 
 void RespConnection::on_drained() {
     unread_since_ = 0us;
-    if (drained()) return linger(end_reason());
+    if (is_drained()) return linger(end_reason());
     if (!input_.empty())
         resume();
     else
         update_reading();
 }
 
-// ---- time-outs ------------------------------------------------------------------------------
+// ---- timeouts -------------------------------------------------------------------------------
 
 std::optional<ClientConnection::PendingWait> RespConnection::pending_wait(Wait wait) const {
-    if ((state_ == State::lingering) != (wait == Wait::client_end)) return std::nullopt;
+    if ((state_ == State::lingering) != (wait == Wait::client_close)) return std::nullopt;
     switch (wait) {
-        case Wait::client_end:
+        case Wait::client_close:
             return PendingWait{wait_started(), linger_timeout};
         case Wait::first_message:
             if (!responses_.empty() || commands_ > 0) return std::nullopt;
@@ -239,10 +240,10 @@
             if (!responses_.empty() || commands_ == 0) return std::nullopt;
             return PendingWait{wait_started(), idle_timeout};
         case Wait::drain:
-            if (!drained()) return std::nullopt;
+            if (!is_drained()) return std::nullopt;
             return PendingWait{loop().now(), 0us};
-        case Wait::message_rest: {
-            // Not while complete commands wait for their turn.
+        case Wait::message_completion: {
+            // Does not apply while complete commands wait to be handled.
             const bool may_read =
                 state_ == State::open && !throttled_ && responses_.size() < max_responses;
             if (input_.empty() || !may_read || incomplete_since_ == 0us) return std::nullopt;
@@ -257,7 +258,7 @@
 
 bool RespConnection::on_wait_expired(Wait wait) {
     switch (wait) {
-        case Wait::client_end:
+        case Wait::client_close:
             close(CloseReason::linger_over);
             return true;
         case Wait::first_message:
@@ -265,13 +266,13 @@
             linger(CloseReason::no_command);
             return true;
         case Wait::idle:
-            if (!at_rest()) return false;
+            if (!is_quiescent()) return false;
             linger(CloseReason::idle);
             return true;
         case Wait::drain:
             linger(end_reason());
             return true;
-        case Wait::message_rest:
+        case Wait::message_completion:
             ++context_.counters.protocol_errors;
             fail("a command not finished in time");
             return true;
@@ -282,37 +283,37 @@
     return false;
 }
 
-// ---- the end --------------------------------------------------------------------------------
+// ---- closing --------------------------------------------------------------------------------
 
-bool RespConnection::idle() const {
+bool RespConnection::is_idle() const {
     return responses_.empty() && input_.empty() && stream().queued() == 0;
 }
 
-bool RespConnection::at_rest() const {
-    return idle() && !stream().unread();
+bool RespConnection::is_quiescent() const {
+    return is_idle() && !stream().unread();
 }
 
 ClientConnection::EvictionPriority RespConnection::eviction_priority() const {
     if (commands_ == 0 && responses_.empty()) return EvictionPriority::no_message;
-    return idle() ? EvictionPriority::idle : EvictionPriority::none;
+    return is_idle() ? EvictionPriority::idle : EvictionPriority::none;
 }
 
-// Nothing is owed to the client, and the connection is to end.
-bool RespConnection::drained() const {
+// Whether no response is pending and the connection must end.
+bool RespConnection::is_drained() const {
     if (state_ == State::lingering) return false;
     if (!responses_.empty() || stream().queued() > 0) return false;
     if (state_ == State::failing) return true;
     const DrainManager& drain = manager().drain();
-    return drain.draining() && (at_rest() || drain.time_remaining(loop().now()) <= 0us);
+    return drain.is_draining() && (is_quiescent() || drain.time_remaining(loop().now()) <= 0us);
 }
 
 CloseReason RespConnection::end_reason() const {
     return state_ == State::failing ? CloseReason::protocol_error : CloseReason::draining;
 }
 
-void RespConnection::fail(std::string_view why) {
-    // The responses to what came before it are sent first.
-    responses_.add_ready("-ERR Protocol error: " + std::string(why) + "\r\n");
+void RespConnection::fail(std::string_view reason) {
+    // The responses to earlier commands are sent first.
+    responses_.add_ready("-ERR Protocol error: " + std::string(reason) + "\r\n");
     state_ = State::failing;
     flush();
 }
