--- a/cmake/SilverreachTargets.cmake
+++ b/cmake/SilverreachTargets.cmake
@@ -1,5 +1,5 @@
-# Helpers for this project's targets. Each folder holds one library (or a few); what its USES names is all that
-# the folder may include.
+# Functions that define this project's targets. Each folder contains one or more libraries; a folder may include only the
+# folders that its USES names.
 
 set(SILVERREACH_WARNINGS -Wall -Wextra -Wpedantic -Wshadow)
 
