--- a/src/event/arrival_log.h
+++ b/src/event/arrival_log.h
@@ -1,4 +1,4 @@
-// Arrival times of the bytes of a connection that wait to be read by their protocol.
+// Arrival times of the received bytes that a connection's protocol has not consumed yet.
 #pragma once
 
 #include <chrono>
@@ -9,11 +9,12 @@
 
 namespace silverreach::event {
 
-// Bytes that arrive within `resolution` of each other share an entry, with the earlier time, so
-// its size grows with time and not with bytes. Times are on the loop's clock.
+// Bytes that arrive within `resolution` of the start of an entry are added to that entry and share
+// its time, so the size of the log grows with time and not with the number of bytes. Times are on
+// the loop's clock.
 class ArrivalLog {
   public:
-    // Notes that `bytes` more have arrived at `at`.
+    // Records that `bytes` more bytes arrived at `at`.
     void add(std::size_t bytes, Micros at) {
         received_ += bytes;
         if (!entries_.empty() && at - entries_.back().at < resolution)
@@ -21,14 +22,14 @@
         else
             entries_.push_back({received_, at});
     }
-    // The arrival time of the byte `offset` behind the consumed ones, counted from 1; `fallback`
-    // where there is no such byte.
+    // Returns the arrival time of the `offset`-th unconsumed byte, counted from 1, or `fallback` if
+    // there is no such byte.
     Micros time_of(std::size_t offset, Micros fallback) const {
         for (const Entry& entry : entries_)
             if (entry.end >= consumed_ + offset) return entry.at;
         return fallback;
     }
-    // Forgets the next `bytes`.
+    // Marks the next `bytes` bytes as consumed and drops their entries.
     void consume(std::size_t bytes) {
         consumed_ += bytes;
         while (!entries_.empty() && entries_.front().end <= consumed_)
@@ -39,7 +40,8 @@
   private:
     static constexpr Micros resolution{10'000};
     struct Entry {
-        std::uint64_t end = 0;  // number of the last byte, among all of the connection
+        std::uint64_t end =
+            0;  // number of the entry's last byte, counted from the connection's start
         Micros at{0};
     };
     std::deque<Entry> entries_;
--- a/src/event/background_task.cpp
+++ b/src/event/background_task.cpp
@@ -29,7 +29,7 @@
 void BackgroundTask::finish() {
     if (thread_.joinable()) thread_.join();
     busy_ = false;
-    // It may run the next piece of work, or destroy this.
+    // The callback may start the next piece of work or destroy this object.
     const auto on_done = std::exchange(on_done_, nullptr);
     if (on_done) on_done();
 }
--- a/src/event/background_task.h
+++ b/src/event/background_task.h
@@ -1,4 +1,4 @@
-// Work that takes longer than a turn of the loop may, on a thread of its own.
+// Runs work that would block the loop for too long on a separate thread.
 #pragma once
 
 #include <ev.h>
@@ -10,16 +10,16 @@
 
 namespace silverreach::event {
 
-// Runs one piece of work at a time; used on the loop's thread. The loop must outlive it.
+// Runs one piece of work at a time. Used on the loop's thread; the loop must outlive it.
 class BackgroundTask {
   public:
     explicit BackgroundTask(Loop& loop);
-    ~BackgroundTask();  // waits for work under way; its on_done is not called
+    ~BackgroundTask();  // waits for work in progress without calling its on_done
     BackgroundTask(const BackgroundTask&) = delete;
     BackgroundTask& operator=(const BackgroundTask&) = delete;
     bool busy() const { return busy_; }
-    // Calls `work` on the other thread, where it must share nothing with the loop's thread, then
-    // `on_done` on the loop. Only while not busy.
+    // Calls `work` on a separate thread, then `on_done` on the loop's thread. `work` must not
+    // access data that the loop's thread uses. May only be called while busy() is false.
     void run(std::function<void()> work, std::function<void()> on_done);
 
   private:
--- a/src/event/deferred_deletion.h
+++ b/src/event/deferred_deletion.h
@@ -1,5 +1,5 @@
-// Destroys objects at the loop's next turn rather than at once, so that an object may give itself
-// up from within one of its own calls.
+// Defers the destruction of objects until the current callback of the loop has returned, so that an
+// object can be released from within one of its own member functions.
 #pragma once
 
 #include <memory>
@@ -10,13 +10,13 @@
 
 namespace silverreach::event {
 
-// Owns the scheduled objects until the next turn, or until its own destruction, which destroys
-// them at once. Used on the loop's thread; the loop must outlive it.
+// Owns the scheduled objects until a timer with zero delay destroys them. Its own destruction
+// destroys them immediately. Used on the loop's thread; the loop must outlive it.
 template <class T>
 class DeferredDeletion {
   public:
     explicit DeferredDeletion(Loop& loop) : loop_(loop) {}
-    // Takes ownership of `object`; its destructor runs at the next turn of the loop.
+    // Takes ownership of `object`, whose destructor runs after the current callback has returned.
     void schedule(std::unique_ptr<T> object) {
         if (scheduled_.empty())
             loop_.after(Micros(0), [this, alive = std::weak_ptr<bool>(alive_)] {
--- a/src/event/fd.h
+++ b/src/event/fd.h
@@ -1,15 +1,15 @@
-// A file descriptor with one owner.
+// An owned file descriptor.
 #pragma once
 
 #include <utility>
 
 namespace silverreach::event {
 
-// Closes its descriptor when it is destroyed, assigned to or reset. Move only.
+// Closes its descriptor on destruction, assignment and reset(). Move-only.
 class Fd {
   public:
     Fd() = default;
-    // Takes ownership of `fd`; a negative number is no descriptor.
+    // Takes ownership of `fd`; a negative number means no descriptor.
     explicit Fd(int fd) : fd_(fd) {}
     ~Fd() { reset(); }
     Fd(const Fd&) = delete;
--- a/src/event/file_watch.h
+++ b/src/event/file_watch.h
@@ -10,11 +10,12 @@
 
 namespace silverreach::event {
 
-// Calls back on the loop when the file's content may have changed: another inode, size or time of
-// change, in nanoseconds. (libev's own watcher compares whole seconds.)
+// Calls back on the loop's thread when the file's content may have changed, that is, when its
+// inode, size or modification time in nanoseconds differs. ev_stat is not used because it compares
+// times in whole seconds.
 class FileWatch {
   public:
-    // Checks `path` once in `period`; `on_change` may destroy the watch.
+    // Checks `path` every `period`. `on_change` may destroy the FileWatch.
     FileWatch(Loop& loop, std::string path, Micros period, std::function<void()> on_change);
     FileWatch(const FileWatch&) = delete;
     FileWatch& operator=(const FileWatch&) = delete;
@@ -22,7 +23,7 @@
   private:
     struct FileStamp {
         std::int64_t inode = 0;
-        std::int64_t size_bytes = -1;  // -1: the file cannot be read
+        std::int64_t size_bytes = -1;  // -1: stat() failed
         std::int64_t changed_ns = 0;
         bool operator==(const FileStamp&) const = default;
     };
--- a/src/event/io_watcher.cpp
+++ b/src/event/io_watcher.cpp
@@ -21,7 +21,8 @@
                 self.on_ready_(conditions);
         },
         fd, 0);
-    // After a stall, responses that have arrived are read before a timer finds them missing.
+    // After a stall of the process, responses that have arrived are read before the timers that
+    // would report them as missing.
     ev_set_priority(&io_, priority_before_timers);
     io_.data = this;
 }
@@ -30,8 +31,8 @@
     ev_io_stop(loop_.raw(), &io_);
 }
 
-// The system refused the watch (no memory, too many watches) and libev has dropped it; nothing
-// else would ever wake its owner.
+// The system refused the watch (no memory, too many watches) and libev has stopped the watcher.
+// Without a retry the owner would never be called again.
 void IoWatcher::on_watch_failed() {
     const int wanted = std::exchange(interest_, none);
     loop_.after(watch_retry_delay, [this, wanted, alive = std::weak_ptr<bool>(alive_)] {
--- a/src/event/io_watcher.h
+++ b/src/event/io_watcher.h
@@ -1,4 +1,4 @@
-// Readiness of one descriptor, as a callback on the loop.
+// Reports the readiness of one descriptor through a callback on the loop's thread.
 #pragma once
 
 #include <ev.h>
@@ -16,16 +16,16 @@
     writable = EV_WRITE
 };
 
-// Watches a descriptor that its owner keeps open for as long as it is watched. Used on the loop's
-// thread. Callbacks come before the timers of the same turn.
+// Watches a descriptor, which its owner must keep open while it is watched. Used on the loop's
+// thread. Callbacks run before the timers of the same turn.
 class IoWatcher {
   public:
-    // `on_ready` receives the conditions that are met, a set of Interest.
+    // `on_ready` receives the conditions that are met as a bit mask of Interest.
     IoWatcher(Loop& loop, int fd, std::function<void(int)> on_ready);
     ~IoWatcher();
     IoWatcher(const IoWatcher&) = delete;
     IoWatcher& operator=(const IoWatcher&) = delete;
-    // Replaces the set of conditions to watch for, of Interest; free of cost when unchanged.
+    // Sets the conditions to watch for, a bit mask of Interest. Does nothing if it is unchanged.
     void want(int interest);
 
   private:
--- a/src/event/listener.cpp
+++ b/src/event/listener.cpp
@@ -19,23 +19,24 @@
 using namespace std::chrono_literals;
 constexpr int max_accepts_per_turn = 64;
 constexpr Micros retry_period = 10ms;
-constexpr Micros close_idle_after = 100ms;  // of a shortage of descriptors
-constexpr Micros close_silent_after = 1s;   // of a shortage of descriptors
-constexpr Micros stop_timeout = 2s;         // for accepting what waits in the queue
+constexpr Micros close_idle_after = 100ms;  // since the start of a descriptor shortage
+constexpr Micros close_silent_after = 1s;   // since the start of a descriptor shortage
+constexpr Micros stop_timeout = 2s;  // for accepting the connections that remain in the queue
 
 Fd open_spare() {
     return Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC));
 }
 
-// Completes no further connection and keeps those in the queue: without this, one that completes
-// between the last accept and the close is reset. Where the system refuses the filter, it still is.
+// Stops the completion of further connections; those in the queue remain. Without the filter, a
+// connection that completes between the last accept() and close() is reset. This still happens if
+// the system refuses the filter.
 void block_new_connections(int fd) {
     sock_filter drop_all{BPF_RET | BPF_K, 0, 0, 0};
     const sock_fprog program{1, &drop_all};
     setsockopt(fd, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
 }
 
-// Errors of the one connection that was to be accepted: the next may be sound.
+// Errors that concern only the connection to be accepted; accept() may succeed for the next one.
 bool is_connection_error(int error) {
     switch (error) {
         case ECONNABORTED:
@@ -105,7 +106,7 @@
     accept_remaining();
 }
 
-// Bounded, as connections may keep arriving where the filter is refused.
+// The number of batches is bounded because connections may keep arriving if the filter was refused.
 void Listener::accept_remaining() {
     AcceptResult result = AcceptResult::more_waiting;
     for (int batch = 0; batch < SOMAXCONN / max_accepts_per_turn; ++batch) {
@@ -150,14 +151,14 @@
 Listener::AcceptResult Listener::on_accept_failed(int error) {
     unwatched_since_ = waiting_since_;
     if (error == EMFILE || error == ENFILE) on_descriptor_shortage();
-    // accept fails for want of a descriptor though nothing waits: what arrives next has arrived
-    // since now.
+    // Without a free descriptor accept() fails even if the queue is empty. A connection that is
+    // accepted later has then arrived after this time.
     if (!has_waiting_connection(fd_.get())) unwatched_since_ = loop_.now();
     return AcceptResult::unavailable;
 }
 
-// A short shortage is waited out. In a lasting one something idle is closed first, and only then a
-// connection that has sent nothing.
+// A shortage shorter than close_idle_after only delays accepting. After that an idle connection is
+// closed, and if there is none, a waiting connection that has sent nothing.
 void Listener::on_descriptor_shortage() {
     const Micros now = loop_.now();
     if (shortage_since_ == 0us) shortage_since_ = now;
@@ -171,7 +172,7 @@
     spare_.reset();
     SocketAddress from;
     Fd fd(::accept4(fd_.get(), from.get(), &from.size, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    // It keeps the descriptor of the spare one.
+    // The connection keeps the descriptor that was reserved.
     if (fd && has_bytes(fd.get())) return deliver(std::move(fd), from.ip());
     fd.reset();
     spare_ = open_spare();
--- a/src/event/listener.h
+++ b/src/event/listener.h
@@ -1,4 +1,4 @@
-// A listening socket that keeps accepting through moments in which accept fails.
+// A listening socket that recovers from failures of accept().
 #pragma once
 
 #include <functional>
@@ -11,39 +11,42 @@
 
 namespace silverreach::event {
 
-// Accepts connections as long as its owner has capacity. A transient error of accept leaves the
-// waiting connections in the system's queue; a lasting shortage of descriptors closes something
-// idle first, and only then a connection that has sent nothing.
+// Accepts connections as long as its owner has capacity. After a transient error of accept() the
+// waiting connections stay in the system's queue. During a lasting shortage of descriptors the
+// listener first has an idle connection closed and, if there is none, accepts one waiting
+// connection on a reserved descriptor and closes it if it has sent nothing.
 //
-// States: listening; paused, after accept failed, until the next retry; stopping, which empties the
-// queue; closed. Used on the loop's thread.
+// States: listening; paused after accept() failed, until the next retry; stopping, while it accepts
+// what remains in the queue; closed. Used on the loop's thread.
 class Listener {
   public:
-    // Binds and listens at once; port 0 takes a free one. `has_capacity` is called for each
-    // connection: where it returns false the connection is closed at once, else `on_accepted` gets
-    // it with the peer's address. Throws SystemError with a plain message.
+    // Binds and starts to listen; port 0 selects a free port. `has_capacity` is called for each
+    // accepted connection: if it returns false the connection is closed, otherwise `on_accepted`
+    // receives its descriptor and the peer's IP address. Throws SystemError with a message for the
+    // operator.
     Listener(Loop& loop, const std::string& ip, int port, bool v6,
              std::function<bool()> has_capacity, std::function<void(Fd, std::string)> on_accepted);
     ~Listener();
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
 
-    // Called while descriptors stay short: closes something idle, or returns false where there is
-    // nothing.
+    // Sets the function that is called during a lasting shortage of descriptors. It closes an idle
+    // connection, or returns false if there is none.
     void on_shortage(std::function<bool()> close_idle) { close_idle_ = std::move(close_idle); }
-    // Within on_accepted: since when the connection, with what its client wrote, may have waited.
+    // Valid within on_accepted: the earliest time at which the connection and the first bytes of
+    // its client may have arrived.
     Micros waiting_since() const { return waiting_since_; }
     int port() const { return port_; }
-    // Lets the system complete no further connection, accepts those that wait, retrying for a while
-    // where that fails, then closes.
+    // Stops the completion of further connections, accepts those that wait in the queue, with
+    // retries for a limited time if accept() fails, and then closes the socket.
     void stop();
     bool listening() const { return static_cast<bool>(fd_); }
 
   private:
     enum class AcceptResult {
         queue_empty,
-        more_waiting,  // the limit of one turn was reached
-        unavailable    // accept fails, for now
+        more_waiting,  // the limit of accepts per turn was reached
+        unavailable    // accept() fails; it is to be retried
     };
     void open(const std::string& ip, int port, bool v6);
     AcceptResult accept_batch();
@@ -56,16 +59,17 @@
 
     Loop& loop_;
     Fd fd_;
-    Fd spare_;  // closed for a moment to accept a connection when descriptors run out
+    Fd spare_;  // reserved descriptor, closed to accept a connection when descriptors run out
     int port_ = 0;
     std::function<bool()> has_capacity_;
     std::function<void(Fd, std::string)> on_accepted_;
     std::function<bool()> close_idle_;
     std::unique_ptr<IoWatcher> watcher_;
     Micros waiting_since_{0};
-    Micros unwatched_since_{0};  // the queue may have filled since then; 0: it was watched
-    Micros shortage_since_{0};   // of descriptors; 0: none
-    Micros stop_deadline_{0};    // 0: not stopping
+    Micros unwatched_since_{
+        0};                     // connections may have queued since then; 0: the socket was watched
+    Micros shortage_since_{0};  // start of a descriptor shortage; 0: none
+    Micros stop_deadline_{0};   // 0: not stopping
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/event/loop.cpp
+++ b/src/event/loop.cpp
@@ -9,8 +9,9 @@
 namespace silverreach::event {
 namespace {
 using namespace std::chrono_literals;
-constexpr Micros immediate_wait_limit = 1ms;  // a shorter wait found what was ready before it
-constexpr Micros stall_threshold = 20ms;      // of a wait, past the time of the timer that ends it
+constexpr Micros immediate_wait_limit =
+    1ms;                                  // after a shorter wait, descriptors were ready before it
+constexpr Micros stall_threshold = 20ms;  // delay of the end of a wait past its timer
 constexpr timespec failed_wait_pause{0, 1'000'000};
 constexpr double us_per_second = 1e6;
 
@@ -20,7 +21,8 @@
 }  // namespace
 
 Loop::Loop() : loop_(ev_loop_new(EVFLAG_AUTO)) {
-    // A wait that fails, for want of memory for one, is made again; libev would end the process.
+    // A wait can fail, for example for lack of memory. By default libev aborts the process then;
+    // with this callback it retries the wait after a pause.
     ev_set_syserr_cb([](const char*) noexcept { ::nanosleep(&failed_wait_pause, nullptr); });
     if (!loop_) throw SystemError("event loop: the system offers no way to wait for sockets");
     now_ = wait_ended_ = ready_since_ = clock();
@@ -31,7 +33,7 @@
         },
         0, 0);
     timer_.data = this;
-    // After the loop has slept the time is read again, once.
+    // The cached time is cleared before each wait and read again after it.
     ev_prepare_init(&prepare_, [](struct ev_loop*, ev_prepare* prepare, int) {
         static_cast<Loop*>(prepare->data)->before_wait();
     });
@@ -86,8 +88,8 @@
     const bool stalled =
         armed_ != 0us && wait_ended_ > std::max(armed_, wait_began_) + stall_threshold;
     if (stalled) ready_since_ = wait_began_;
-    // A process that is stopped ends its wait as on a signal, without a poll: the next wait finds
-    // what became ready meanwhile.
+    // A stopped process ends its wait like one that a signal interrupts, without polling: the next
+    // wait reports the descriptors that became ready in the meantime.
     else if (immediate && !stalled_)
         ready_since_ = last_wait_ended;
     else if (!immediate)
@@ -107,7 +109,7 @@
     armed_ = 0us;
     if (timers_.empty()) return;
     armed_ = timers_.front().due;
-    // libev counts from its own idea of now, which may be older than ours.
+    // libev counts the delay from its own cached time, which may be older than now().
     ev_now_update(loop_);
     ev_timer_set(&timer_, std::max(0.0, seconds(armed_ - clock())), 0);
     ev_timer_start(loop_, &timer_);
@@ -116,8 +118,8 @@
 void Loop::fire_timers() {
     const Micros until = std::max(now(), clock());
     now_ = until;
-    // Timers that these callbacks set for now fire in the next turn, so that sockets are not
-    // starved.
+    // Timers with zero delay that these callbacks set fire in the next turn, so that they do not
+    // starve the sockets.
     const std::uint64_t first_new = next_order_;
     while (!timers_.empty() && timers_.front().due <= until && timers_.front().order < first_new) {
         std::pop_heap(timers_.begin(), timers_.end());
--- a/src/event/loop.h
+++ b/src/event/loop.h
@@ -1,4 +1,4 @@
-// The event loop: one a thread, on libev, with one monotonic clock and one heap of timers.
+// The event loop, based on libev: one per thread, with a monotonic clock and a heap of timers.
 #pragma once
 
 #include <ev.h>
@@ -12,35 +12,37 @@
 
 using Micros = std::chrono::microseconds;
 
-// Everything but clock() is called on the thread that runs the loop.
+// All members except clock() are called on the thread that runs the loop.
 class Loop {
   public:
-    // Throws SystemError where the system offers no way to wait for sockets.
+    // Throws SystemError if the system offers no mechanism to wait for sockets.
     Loop();
     ~Loop();
     Loop(const Loop&) = delete;
     Loop& operator=(const Loop&) = delete;
 
-    void run();   // returns after stop()
-    void stop();  // ends run() with the present turn
-    // Monotonic; read once for each turn of the loop, so all that happens in one turn happens at
-    // one time.
+    void run();   // returns after stop() was called
+    void stop();  // makes run() return at the end of the current turn
+    // Monotonic time, cached for each turn of the loop, so that the events of one turn have the
+    // same time.
     Micros now() const;
-    static Micros clock();  // the same clock, read afresh
-    // The earliest moment at which what this turn found ready may have become so, if it was watched
-    // in the turn before. While the loop waits something ready wakes it, so that is now; what
-    // became ready while the last turn was at work, or while the process was stalled, may be older.
+    static Micros clock();  // reads the same clock without the cache
+    // The earliest time at which a descriptor that is ready in this turn may have become ready,
+    // provided that it was watched in the previous turn. A descriptor that becomes ready during the
+    // wait ends it, so this is usually now; one that became ready while the callbacks of the
+    // previous turn ran, or while the process was stalled, may have been ready earlier.
     Micros ready_since() const { return ready_since_; }
-    std::uint64_t turn() const { return turn_; }  // counts the waits
-    // Calls once, `delay` from now; a negative delay is zero. Timers due at once fire in the order
-    // in which they were set. A timer cannot be cancelled: its owner checks whether it still
-    // matters, and whether it is still alive.
+    std::uint64_t turn() const { return turn_; }  // number of waits so far
+    // Calls `callback` once, `delay` from now; a negative delay counts as zero. Timers that are due
+    // at the same time fire in the order in which they were set. A timer cannot be cancelled: the
+    // callback checks whether its owner still exists and still needs it.
     void after(Micros delay, std::function<void()> callback);
-    // The loop underneath, for watchers of this folder; owned here.
+    // The underlying libev loop, for the watchers in this folder; owned by this object.
     struct ev_loop* raw() const {
         return loop_;
     }
-    // Called in each turn, before anything else of it. An empty function calls nothing.
+    // Sets a function that is called in each turn before all other callbacks. An empty function
+    // removes it.
     void on_each_turn(std::function<void()> callback) { on_each_turn_ = std::move(callback); }
 
   private:
@@ -61,12 +63,12 @@
     ev_timer timer_{};
     ev_prepare prepare_{};
     ev_check check_{};
-    std::vector<Timer> timers_;  // a heap, the next one due in front
+    std::vector<Timer> timers_;  // a heap with the next timer in front
     std::uint64_t next_order_ = 0;
-    Micros armed_{0};        // for which timer_ is set; 0: not set
+    Micros armed_{0};        // time for which timer_ is set; 0: not set
     mutable Micros now_{0};  // 0: not read in this turn yet
-    Micros wait_began_{0};   // of the latest wait
-    Micros wait_ended_{0};   // of the latest wait
+    Micros wait_began_{0};   // start of the latest wait
+    Micros wait_ended_{0};   // end of the latest wait
     Micros ready_since_{0};
     bool stalled_ = false;  // the process did not run when the latest wait should have ended
     std::uint64_t turn_ = 0;
--- a/src/event/signal.cpp
+++ b/src/event/signal.cpp
@@ -25,7 +25,7 @@
     raised[static_cast<std::size_t>(number)] = true;
     const std::uint64_t one = 1;
     if (wake_fd >= 0 && ::write(wake_fd, &one, sizeof one) < 0) {
-        // The loop's next turn reads the flag.
+        // Without the wake-up, the next turn of the loop reads the flag.
     }
     errno = saved_errno;
 }
@@ -36,13 +36,13 @@
     ::sigaction(number, &action, nullptr);
 }
 
-// What the signals of one loop share: the wake-up descriptor and the callbacks.
+// The wake-up descriptor and the callbacks that all signals of the loop share.
 class SignalDispatcher {
   public:
     explicit SignalDispatcher(Loop& loop)
         : loop_(loop), fd_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
         loop_.on_each_turn([this] { dispatch_raised(); });
-        if (!fd_) return;  // the loop's timers wake it
+        if (!fd_) return;  // without the descriptor, only its timers wake the loop
         wake_fd = fd_.get();
         watcher_ = std::make_unique<IoWatcher>(loop, fd_.get(), [this](int) { clear_wakeup(); });
         watcher_->want(readable);
--- a/src/event/signal.h
+++ b/src/event/signal.h
@@ -1,4 +1,4 @@
-// Signals of the process, as callbacks on the loop.
+// Delivers signals of the process as callbacks on the loop's thread.
 #pragma once
 
 #include <functional>
@@ -7,10 +7,10 @@
 
 namespace silverreach::event {
 
-// Handles one signal while it lives, and restores the default action when it is destroyed. The
-// handler sets a flag and wakes the loop; each turn reads the flags, so that none is missed where
-// the wake-up fails. One object for a signal at a time, and one loop for all of them, on whose
-// thread they are created and destroyed.
+// Handles one signal during its lifetime; its destructor restores the default action. The signal
+// handler sets a flag and wakes the loop. Each turn reads the flags, so that no signal is missed if
+// the wake-up fails. At most one object per signal exists at a time, and all of them use one loop,
+// on whose thread they are created and destroyed.
 class Signal {
   public:
     Signal(Loop& loop, int number, std::function<void()> on_signal);
--- a/src/event/socket_address.cpp
+++ b/src/event/socket_address.cpp
@@ -34,7 +34,7 @@
 }
 
 int SocketAddress::port() const {
-    // In the same place for both families.
+    // The port has the same offset in both address families.
     return ntohs(reinterpret_cast<const sockaddr_in&>(storage).sin_port);
 }
 
--- a/src/event/socket_address.h
+++ b/src/event/socket_address.h
@@ -1,4 +1,4 @@
-// An IP address and port in the system's form.
+// An IP address and port as a sockaddr.
 #pragma once
 
 #include <netinet/in.h>
@@ -9,9 +9,10 @@
 namespace silverreach::event {
 
 struct SocketAddress {
-    // Room for any address, for the system to fill in.
+    // An empty address of maximum size, to be filled in by a system call.
     SocketAddress() = default;
-    // `ip`: the text of an address of the family that `v6` names; else the address is all zeros.
+    // `ip` is an IPv6 address if `v6` is true, otherwise an IPv4 address. If it cannot be parsed,
+    // the address is all zeros.
     SocketAddress(const std::string& ip, int port, bool v6);
     sockaddr* get() { return reinterpret_cast<sockaddr*>(&storage); }
     std::string ip() const;
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -17,15 +17,16 @@
 namespace silverreach::event {
 namespace {
 using namespace std::chrono_literals;
-constexpr std::size_t read_size = std::size_t{64} * 1024;  // bytes of one read
-constexpr std::size_t idle_out_capacity = 4096;            // bytes that an empty out buffer keeps
+constexpr std::size_t read_size = std::size_t{64} * 1024;  // bytes per recv()
+constexpr std::size_t idle_out_capacity =
+    4096;  // bytes; an empty output buffer with more is shrunk
 constexpr std::size_t max_pieces = 4;
 
 ssize_t peek(int fd) {
     char byte;
     return ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 }
-// The call did nothing and says nothing about the connection: it can be made again.
+// The call had no effect and does not indicate a failed connection; it can be retried.
 bool is_transient(int error) {
     return error == EAGAIN || error == EWOULDBLOCK || error == EINTR || error == ENOMEM ||
            error == ENOBUFS;
@@ -56,7 +57,7 @@
 
 void Stream::read(bool on) {
     if (reading_ && !on && unwatched_since_ == 0us) unwatched_since_ = loop_.now();
-    // Nothing has arrived while it was not watched: as if it had been.
+    // If nothing has arrived while the socket was not watched, it counts as watched until now.
     if (!reading_ && !closed() && unwatched_since_ != 0us && !unread())
         unwatched_since_ = loop_.now();
     if (!reading_ && on) watched_from_turn_ = loop_.turn() + 1;
@@ -78,8 +79,8 @@
             if (!piece.empty() && message.msg_iovlen < max_pieces)
                 parts[message.msg_iovlen++] = {const_cast<char*>(piece.data()), piece.size()};
         const ssize_t count = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
-        // An error shows again at the next turn, where on_broken does not interrupt the owner's own
-        // call.
+        // An error is found again in the next turn. Reporting it there avoids calling on_broken
+        // from within the owner's call of write().
         done = count > 0 ? static_cast<std::size_t>(count) : 0;
     }
     for (const std::string_view piece : pieces) {
@@ -123,8 +124,8 @@
     owner_.on_end();
 }
 
-// The first turn that watches again finds what arrived while the socket was not watched; a later
-// one only what arrived since the last.
+// The first turn that watches the socket again reads bytes that arrived while it was not watched; a
+// later turn reads only bytes that arrived since the previous turn.
 void Stream::note_arrival(bool socket_emptied) {
     const bool unwatched = unwatched_since_ != 0us && loop_.turn() <= watched_from_turn_;
     arrived_ = unwatched ? unwatched_since_ : loop_.ready_since();
@@ -166,7 +167,7 @@
     const ssize_t count = peek(fd_.get());
     if (count == 0 || (count < 0 && !is_transient(errno))) return true;
     if (count < 0) return false;
-    // The end may stand behind bytes that were not read.
+    // The peer's end may follow unread bytes.
     pollfd poll_end{fd_.get(), POLLRDHUP, 0};
     return ::poll(&poll_end, 1, 0) > 0 && (poll_end.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
@@ -213,7 +214,7 @@
         return {};
     }
     SocketAddress address(ip, port, v6);
-    // Interrupted, it goes on by itself like one under way.
+    // A connect that a signal interrupts continues in the background like one in progress.
     const bool under_way = ::connect(fd.get(), address.get(), address.size) == 0 ||
                            errno == EINPROGRESS || errno == EINTR;
     if (!under_way) {
--- a/src/event/stream.h
+++ b/src/event/stream.h
@@ -1,4 +1,4 @@
-// A buffered stream socket, for any protocol.
+// A buffered stream socket, independent of the protocol.
 #pragma once
 
 #include <initializer_list>
@@ -12,45 +12,47 @@
 
 namespace silverreach::event {
 
-// Receives the events of a stream, on the loop's thread. It may close the stream in any of these,
-// but destroys it only later (Loop::after, DeferredDeletion): a stream must outlive its callbacks.
+// Receives the events of a stream on the loop's thread. The owner may close the stream in any
+// callback but must destroy it later (Loop::after, DeferredDeletion), because a stream must outlive
+// its callbacks.
 class StreamOwner {
   public:
     virtual ~StreamOwner() = default;
     virtual void on_connected() {}
     virtual void on_data(std::string_view bytes) = 0;
-    virtual void on_end() = 0;              // the peer ended its half
-    virtual void on_broken(int error) = 0;  // an errno; the stream is closed
-    virtual void on_drained() {}            // all that was written has been sent
+    virtual void on_end() = 0;              // the peer closed its half of the connection
+    virtual void on_broken(int error) = 0;  // `error` is an errno; the stream is closed
+    virtual void on_drained() {}            // all queued bytes have been sent
 };
 
-// States: connecting (only for outgoing ones), open, ended (no more is written), closed. Used on
+// States: connecting (outgoing connections only), open, ended (no further writes), closed. Used on
 // the loop's thread; loop and owner must outlive it.
 class Stream {
   public:
-    // Takes the descriptor; `connecting`: its connect is still under way.
+    // Takes ownership of `fd`. `connecting`: the connect is still in progress.
     Stream(Loop& loop, Fd fd, StreamOwner& owner, bool connecting = false);
     // An accepted connection, whose first bytes may have arrived since `waiting_since`.
     Stream(Loop& loop, Fd fd, StreamOwner& owner, Micros waiting_since);
 
-    // Sends what the system takes at once and queues the rest. No bound of its own: the owner looks
-    // at queued(). Does nothing once ended or closed.
+    // Sends what the system accepts immediately and queues the rest. The queue is not limited: the
+    // owner checks queued(). Does nothing after end(), close() or reset().
     void write(std::string_view bytes);
-    // The same for several pieces with one system call; at most four.
+    // As above for several pieces, which are passed to one system call; at most four.
     void write(std::initializer_list<std::string_view> pieces);
     std::size_t queued() const { return out_.size() - sent_; }  // bytes
-    // Back pressure: while off, nothing is read from the socket.
+    // Back pressure: while `on` is false, nothing is read from the socket.
     void read(bool on);
-    // In on_data: the earliest moment at which these bytes may have arrived, on the loop's clock.
+    // Valid in on_data: the earliest time at which its bytes may have arrived, on the loop's clock.
     Micros arrived() const { return arrived_; }
-    void close();  // at once; what is queued is lost
-    void reset();  // at once, and so that the peer sees a broken connection
-    void end();    // ends this half once what is queued has been sent
+    void close();  // closes the socket immediately and discards queued bytes
+    void reset();  // like close(), but the peer receives a TCP reset
+    void end();    // closes the sending half once the queued bytes have been sent
     bool closed() const { return !fd_; }
-    // Whether bytes, or the end, have arrived that on_data or on_end has not reported.
+    // Whether unread bytes, the peer's end or an error wait in the socket. The end counts even
+    // after on_end() has reported it.
     bool unread() const;
-    // Whether the peer has ended or broken the connection, reported or not, behind bytes that were
-    // not read too.
+    // Whether the peer has closed its half or the connection has failed. Includes an end that is
+    // not yet reported or follows unread bytes.
     bool peer_closed() const;
     int fd() const { return fd_.get(); }
 
@@ -68,22 +70,22 @@
     StreamOwner& owner_;
     std::unique_ptr<IoWatcher> watcher_;
     std::string out_;
-    std::size_t sent_ = 0;  // bytes of out_
+    std::size_t sent_ = 0;  // number of bytes of out_ that have been sent
     bool connecting_;
     bool reading_ = true;
-    bool ended_ = false;         // by end()
-    bool end_reported_ = false;  // by on_end()
+    bool ended_ = false;         // end() was called
+    bool end_reported_ = false;  // on_end() was called
     Micros arrived_{0};
-    // What is in the socket may have arrived since then, while it was not watched; 0: it was.
+    // Bytes in the socket may have arrived since then, while it was not watched; 0: it was watched.
     Micros unwatched_since_{0};
-    std::uint64_t watched_from_turn_ = 0;  // the loop watches it from this turn on
+    std::uint64_t watched_from_turn_ = 0;  // first turn in which the loop watches the socket
 };
 
-// Whether a failed connect is due to a shortage on this machine (descriptors, memory, ports, a
-// route) and says nothing of the other side. `error`: an errno.
+// Whether the errno of a failed connect has a local cause (no descriptor, memory, port, route or
+// permission) and so says nothing about the peer.
 bool local_shortage(int error);
-// Starts a non-blocking connect and returns its socket. Where the system refuses at once, returns
-// an invalid one and sets `error` to the errno, else to 0.
+// Starts a non-blocking connect and returns its socket, with `error` set to 0. If a system call
+// fails immediately, returns an invalid descriptor and sets `error` to the errno.
 Fd connect_to(const std::string& ip, int port, bool v6, int& error);
 
 }  // namespace silverreach::event
--- a/src/event/system_random.h
+++ b/src/event/system_random.h
@@ -1,4 +1,4 @@
-// Random numbers of the system's own source, for names that must not be guessed.
+// Random numbers from the system's source, for names that must not be predictable.
 #pragma once
 
 #include <array>
@@ -7,8 +7,8 @@
 
 namespace silverreach::event {
 
-// Buffers a page of numbers, so that most calls cost no system call. Not copyable: two copies
-// would generate the same names. For one thread.
+// Buffers 512 numbers, so that most calls need no system call. Not copyable, because copies would
+// generate the same names. Not thread-safe.
 class SystemRandom {
   public:
     SystemRandom() = default;
--- a/src/event/timer_wheel.cpp
+++ b/src/event/timer_wheel.cpp
@@ -36,8 +36,8 @@
     used_[index / word_bits] |= 1ull << index % word_bits;
 }
 
-// Scans the bits once round, from the slot after the last fired one: the first word's upper bits
-// first, its lower bits last.
+// Scans the ring once, from the slot after the last fired one. The first word is scanned twice: its
+// upper bits first, its lower bits at the end.
 std::int64_t TimerWheel::next_used_slot() const {
     constexpr std::size_t words = slot_count / word_bits;
     const std::size_t from = static_cast<std::size_t>(fired_ + 1) % slot_count;
@@ -55,7 +55,7 @@
     return no_slot;
 }
 
-// Wakes for the next slot in use; with nothing pending the loop is not called at all.
+// Sets a loop timer for the next slot in use. Without pending timers it sets none.
 void TimerWheel::arm() {
     if (pending_ == 0) return;
     const std::int64_t refill =
@@ -101,7 +101,7 @@
     for (const Timer& timer : due)
         on_timer_(timer.token);
     due.clear();
-    // The slot keeps its memory for the next round, unless a burst has made it large.
+    // The slot keeps its memory for the next use, unless a burst has made it large.
     if (due.capacity() <= kept_slot_capacity && ring_[index].empty()) ring_[index].swap(due);
 }
 
--- a/src/event/timer_wheel.h
+++ b/src/event/timer_wheel.h
@@ -1,4 +1,4 @@
-// A timer wheel: very many short timers that each carry a number.
+// A timer wheel for many short timers, each identified by a token.
 #pragma once
 
 #include <array>
@@ -12,13 +12,14 @@
 
 namespace silverreach::event {
 
-// A ring of one-millisecond slots, so that starting and firing a timer costs the same however many
-// there are. A timer fires at its time or up to a millisecond later. Used on the loop's thread.
+// A ring of one-millisecond slots, so that the cost of starting and firing a timer does not depend
+// on the number of timers. A timer fires at its due time or up to a millisecond later. Used on the
+// loop's thread.
 class TimerWheel {
   public:
     // `on_timer` receives the token of each timer that fires; it may start others.
     TimerWheel(Loop& loop, std::function<void(std::uint64_t)> on_timer);
-    // Starts a timer; a negative delay is zero. Timers cannot be cancelled.
+    // Starts a timer; a negative delay counts as zero. Timers cannot be cancelled.
     void start(Micros delay, std::uint64_t token);
     std::size_t pending() const { return pending_; }
 
@@ -26,7 +27,7 @@
     static constexpr std::size_t slot_count = 4096;  // a power of two
     static constexpr std::size_t word_bits = 64;
     struct Timer {
-        std::int64_t slot;  // milliseconds on the loop's clock
+        std::int64_t slot;  // due time in milliseconds on the loop's clock
         std::uint64_t token;
     };
     void insert(Timer timer);
@@ -40,10 +41,10 @@
     Loop& loop_;
     std::function<void(std::uint64_t)> on_timer_;
     std::array<std::vector<Timer>, slot_count> ring_;
-    std::array<std::uint64_t, slot_count / word_bits> used_{};  // a bit for each slot of the ring
-    std::multimap<std::int64_t, std::uint64_t> overflow_;       // beyond the ring, by slot
+    std::array<std::uint64_t, slot_count / word_bits> used_{};  // one bit per slot of the ring
+    std::multimap<std::int64_t, std::uint64_t> overflow_;       // timers beyond the ring, by slot
     std::int64_t fired_;      // every slot up to this one has fired
-    std::int64_t armed_ = 0;  // slot for which the loop will call; 0: none
+    std::int64_t armed_ = 0;  // slot for which a loop timer is set; 0: none
     std::size_t pending_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
