--- a/src/event/arrival_log.h
+++ b/src/event/arrival_log.h
@@ -14,19 +14,19 @@
 // the loop's clock.
 class ArrivalLog {
   public:
-    // Records that `bytes` more bytes arrived at `at`.
-    void add(std::size_t bytes, Micros at) {
+    // Records that `bytes` more bytes arrived at `arrived_at`.
+    void add(std::size_t bytes, Micros arrived_at) {
         received_ += bytes;
-        if (!entries_.empty() && at - entries_.back().at < resolution)
+        if (!entries_.empty() && arrived_at - entries_.back().arrived_at < resolution)
             entries_.back().end = received_;
         else
-            entries_.push_back({received_, at});
+            entries_.push_back({received_, arrived_at});
     }
     // Returns the arrival time of the `offset`-th unconsumed byte, counted from 1, or `fallback` if
     // there is no such byte.
     Micros time_of(std::size_t offset, Micros fallback) const {
         for (const Entry& entry : entries_)
-            if (entry.end >= consumed_ + offset) return entry.at;
+            if (entry.end >= consumed_ + offset) return entry.arrived_at;
         return fallback;
     }
     // Marks the next `bytes` bytes as consumed and drops their entries.
@@ -42,7 +42,7 @@
     struct Entry {
         std::uint64_t end =
             0;  // number of the entry's last byte, counted from the connection's start
-        Micros at{0};
+        Micros arrived_at{0};
     };
     std::deque<Entry> entries_;
     std::uint64_t received_ = 0;  // bytes
--- a/src/event/background_task.cpp
+++ b/src/event/background_task.cpp
@@ -9,12 +9,12 @@
         static_cast<BackgroundTask*>(watcher->data)->finish();
     });
     work_done_.data = this;
-    ev_async_start(loop.raw(), &work_done_);
+    ev_async_start(loop.libev_loop(), &work_done_);
 }
 
 BackgroundTask::~BackgroundTask() {
     if (thread_.joinable()) thread_.join();
-    ev_async_stop(loop_.raw(), &work_done_);
+    ev_async_stop(loop_.libev_loop(), &work_done_);
 }
 
 void BackgroundTask::run(std::function<void()> work, std::function<void()> on_done) {
@@ -22,7 +22,7 @@
     on_done_ = std::move(on_done);
     thread_ = std::thread([this, work = std::move(work)] {
         work();
-        ev_async_send(loop_.raw(), &work_done_);
+        ev_async_send(loop_.libev_loop(), &work_done_);
     });
 }
 
--- a/src/event/file_watch.cpp
+++ b/src/event/file_watch.cpp
@@ -14,7 +14,7 @@
       path_(std::move(path)),
       period_(period),
       on_change_(std::move(on_change)),
-      last_(read_stamp()) {
+      last_stamp_(read_stamp()) {
     schedule_check();
 }
 
@@ -29,7 +29,7 @@
     loop_.after(period_, [this, alive = std::weak_ptr<bool>(alive_)] {
         if (alive.expired()) return;
         const FileStamp current = read_stamp();
-        const FileStamp previous = std::exchange(last_, current);
+        const FileStamp previous = std::exchange(last_stamp_, current);
         if (previous != current) on_change_();
         if (!alive.expired()) schedule_check();
     });
--- a/src/event/file_watch.h
+++ b/src/event/file_watch.h
@@ -24,7 +24,7 @@
     struct FileStamp {
         std::int64_t inode = 0;
         std::int64_t size_bytes = -1;  // -1: stat() failed
-        std::int64_t changed_ns = 0;
+        std::int64_t modified_ns = 0;
         bool operator==(const FileStamp&) const = default;
     };
     FileStamp read_stamp() const;
@@ -34,7 +34,7 @@
     std::string path_;
     Micros period_;
     std::function<void()> on_change_;
-    FileStamp last_;
+    FileStamp last_stamp_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/event/io_watcher.cpp
+++ b/src/event/io_watcher.cpp
@@ -28,25 +28,25 @@
 }
 
 IoWatcher::~IoWatcher() {
-    ev_io_stop(loop_.raw(), &io_);
+    ev_io_stop(loop_.libev_loop(), &io_);
 }
 
 // The system refused the watch (no memory, too many watches) and libev has stopped the watcher.
 // Without a retry the owner would never be called again.
 void IoWatcher::on_watch_failed() {
-    const int wanted = std::exchange(interest_, none);
-    loop_.after(watch_retry_delay, [this, wanted, alive = std::weak_ptr<bool>(alive_)] {
-        if (!alive.expired() && interest_ == none) want(wanted);
+    const int interest = std::exchange(interest_, none);
+    loop_.after(watch_retry_delay, [this, interest, alive = std::weak_ptr<bool>(alive_)] {
+        if (!alive.expired() && interest_ == none) want(interest);
     });
 }
 
 void IoWatcher::want(int interest) {
     if (interest == interest_) return;
-    ev_io_stop(loop_.raw(), &io_);
+    ev_io_stop(loop_.libev_loop(), &io_);
     interest_ = interest;
     if (interest == none) return;
     ev_io_set(&io_, io_.fd, interest);
-    ev_io_start(loop_.raw(), &io_);
+    ev_io_start(loop_.libev_loop(), &io_);
 }
 
 }  // namespace silverreach::event
--- a/src/event/listener.cpp
+++ b/src/event/listener.cpp
@@ -23,7 +23,7 @@
 constexpr Micros close_silent_after = 1s;   // since the start of a descriptor shortage
 constexpr Micros stop_timeout = 2s;  // for accepting the connections that remain in the queue
 
-Fd open_spare() {
+Fd open_spare_fd() {
     return Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC));
 }
 
@@ -70,7 +70,7 @@
                    std::function<bool()> has_capacity,
                    std::function<void(Fd, std::string)> on_accepted)
     : loop_(loop),
-      spare_(open_spare()),
+      spare_fd_(open_spare_fd()),
       has_capacity_(std::move(has_capacity)),
       on_accepted_(std::move(on_accepted)) {
     open(ip, port, v6);
@@ -126,8 +126,8 @@
     waiting_since_ = unwatched_since_ != 0us ? unwatched_since_ : loop_.ready_since();
     int accepted = 0;
     for (int i = 0; i < max_accepts_per_turn; ++i) {
-        SocketAddress from;
-        const int fd = ::accept4(fd_.get(), from.get(), &from.size, SOCK_NONBLOCK | SOCK_CLOEXEC);
+        SocketAddress peer;
+        const int fd = ::accept4(fd_.get(), peer.get(), &peer.size, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) {
             const int error = errno;
             if (is_connection_error(error)) continue;
@@ -137,15 +137,15 @@
         }
         shortage_since_ = 0us;
         ++accepted;
-        deliver(Fd(fd), from.ip());
-        if (!spare_) spare_ = open_spare();
+        deliver(Fd(fd), peer.ip());
+        if (!spare_fd_) spare_fd_ = open_spare_fd();
     }
     unwatched_since_ = waiting_since_;
     return accepted > 0 ? AcceptResult::more_waiting : AcceptResult::unavailable;
 }
 
-void Listener::deliver(Fd fd, std::string client) {
-    if (has_capacity_()) on_accepted_(std::move(fd), std::move(client));
+void Listener::deliver(Fd fd, std::string peer_ip) {
+    if (has_capacity_()) on_accepted_(std::move(fd), std::move(peer_ip));
 }
 
 Listener::AcceptResult Listener::on_accept_failed(int error) {
@@ -164,18 +164,18 @@
     if (shortage_since_ == 0us) shortage_since_ = now;
     if (now - shortage_since_ < close_idle_after) return;
     if (close_idle_ && close_idle_()) return;
-    if (now - shortage_since_ >= close_silent_after) accept_with_spare();
+    if (now - shortage_since_ >= close_silent_after) accept_with_spare_fd();
 }
 
-void Listener::accept_with_spare() {
-    if (!spare_) return;
-    spare_.reset();
-    SocketAddress from;
-    Fd fd(::accept4(fd_.get(), from.get(), &from.size, SOCK_NONBLOCK | SOCK_CLOEXEC));
+void Listener::accept_with_spare_fd() {
+    if (!spare_fd_) return;
+    spare_fd_.reset();
+    SocketAddress peer;
+    Fd fd(::accept4(fd_.get(), peer.get(), &peer.size, SOCK_NONBLOCK | SOCK_CLOEXEC));
     // The connection keeps the descriptor that was reserved.
-    if (fd && has_bytes(fd.get())) return deliver(std::move(fd), from.ip());
+    if (fd && has_bytes(fd.get())) return deliver(std::move(fd), peer.ip());
     fd.reset();
-    spare_ = open_spare();
+    spare_fd_ = open_spare_fd();
 }
 
 void Listener::pause() {
--- a/src/event/listener.h
+++ b/src/event/listener.h
@@ -52,14 +52,14 @@
     AcceptResult accept_batch();
     AcceptResult on_accept_failed(int error);
     void on_descriptor_shortage();
-    void deliver(Fd fd, std::string client);
-    void accept_with_spare();
+    void deliver(Fd fd, std::string peer_ip);
+    void accept_with_spare_fd();
     void pause();
     void accept_remaining();
 
     Loop& loop_;
     Fd fd_;
-    Fd spare_;  // reserved descriptor, closed to accept a connection when descriptors run out
+    Fd spare_fd_;  // reserved descriptor, closed to accept a connection when descriptors run out
     int port_ = 0;
     std::function<bool()> has_capacity_;
     std::function<void(Fd, std::string)> on_accepted_;
--- a/src/event/loop.cpp
+++ b/src/event/loop.cpp
@@ -15,7 +15,7 @@
 constexpr timespec failed_wait_pause{0, 1'000'000};
 constexpr double us_per_second = 1e6;
 
-double seconds(Micros duration) {
+double to_seconds(Micros duration) {
     return static_cast<double>(duration.count()) / us_per_second;
 }
 }  // namespace
@@ -86,7 +86,7 @@
     now_ = wait_ended_;
     const bool immediate = wait_ended_ - wait_began_ < immediate_wait_limit;
     const bool stalled =
-        armed_ != 0us && wait_ended_ > std::max(armed_, wait_began_) + stall_threshold;
+        armed_for_ != 0us && wait_ended_ > std::max(armed_for_, wait_began_) + stall_threshold;
     if (stalled) ready_since_ = wait_began_;
     // A stopped process ends its wait like one that a signal interrupts, without polling: the next
     // wait reports the descriptors that became ready in the meantime.
@@ -95,23 +95,23 @@
     else if (!immediate)
         ready_since_ = wait_ended_;
     stalled_ = stalled;
-    if (on_each_turn_) on_each_turn_();
+    if (turn_callback_) turn_callback_();
 }
 
 void Loop::after(Micros delay, std::function<void()> callback) {
     timers_.push_back({now() + std::max(delay, 0us), next_order_++, std::move(callback)});
     std::push_heap(timers_.begin(), timers_.end());
-    if (armed_ == 0us || timers_.front().due < armed_) arm();
+    if (armed_for_ == 0us || timers_.front().due < armed_for_) arm_timer();
 }
 
-void Loop::arm() {
+void Loop::arm_timer() {
     ev_timer_stop(loop_, &timer_);
-    armed_ = 0us;
+    armed_for_ = 0us;
     if (timers_.empty()) return;
-    armed_ = timers_.front().due;
+    armed_for_ = timers_.front().due;
     // libev counts the delay from its own cached time, which may be older than now().
     ev_now_update(loop_);
-    ev_timer_set(&timer_, std::max(0.0, seconds(armed_ - clock())), 0);
+    ev_timer_set(&timer_, std::max(0.0, to_seconds(armed_for_ - clock())), 0);
     ev_timer_start(loop_, &timer_);
 }
 
@@ -127,7 +127,7 @@
         timers_.pop_back();
         callback();
     }
-    arm();
+    arm_timer();
 }
 
 }  // namespace silverreach::event
--- a/src/event/loop.h
+++ b/src/event/loop.h
@@ -38,12 +38,12 @@
     // callback checks whether its owner still exists and still needs it.
     void after(Micros delay, std::function<void()> callback);
     // The underlying libev loop, for the watchers in this folder; owned by this object.
-    struct ev_loop* raw() const {
+    struct ev_loop* libev_loop() const {
         return loop_;
     }
     // Sets a function that is called in each turn before all other callbacks. An empty function
     // removes it.
-    void on_each_turn(std::function<void()> callback) { on_each_turn_ = std::move(callback); }
+    void set_turn_callback(std::function<void()> callback) { turn_callback_ = std::move(callback); }
 
   private:
     struct Timer {
@@ -54,7 +54,7 @@
             return due != other.due ? due > other.due : order > other.order;
         }
     };
-    void arm();
+    void arm_timer();
     void fire_timers();
     void before_wait();
     void after_wait();
@@ -65,14 +65,14 @@
     ev_check check_{};
     std::vector<Timer> timers_;  // a heap with the next timer in front
     std::uint64_t next_order_ = 0;
-    Micros armed_{0};        // time for which timer_ is set; 0: not set
+    Micros armed_for_{0};    // time for which timer_ is set; 0: not set
     mutable Micros now_{0};  // 0: not read in this turn yet
     Micros wait_began_{0};   // start of the latest wait
     Micros wait_ended_{0};   // end of the latest wait
     Micros ready_since_{0};
     bool stalled_ = false;  // the process did not run when the latest wait should have ended
     std::uint64_t turn_ = 0;
-    std::function<void()> on_each_turn_;
+    std::function<void()> turn_callback_;
 };
 
 }  // namespace silverreach::event
--- a/src/event/signal.cpp
+++ b/src/event/signal.cpp
@@ -41,7 +41,7 @@
   public:
     explicit SignalDispatcher(Loop& loop)
         : loop_(loop), fd_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-        loop_.on_each_turn([this] { dispatch_raised(); });
+        loop_.set_turn_callback([this] { dispatch_raised(); });
         if (!fd_) return;  // without the descriptor, only its timers wake the loop
         wake_fd = fd_.get();
         watcher_ = std::make_unique<IoWatcher>(loop, fd_.get(), [this](int) { clear_wakeup(); });
@@ -49,7 +49,7 @@
     }
     ~SignalDispatcher() {
         wake_fd = -1;
-        loop_.on_each_turn({});
+        loop_.set_turn_callback({});
     }
     void add(int number, std::function<void()> callback) {
         callbacks_[number] = std::move(callback);
--- a/src/event/socket_address.cpp
+++ b/src/event/socket_address.cpp
@@ -8,18 +8,18 @@
 
 SocketAddress::SocketAddress(const std::string& ip, int port, bool v6) {
     if (v6) {
-        auto* six = reinterpret_cast<sockaddr_in6*>(&storage);
-        six->sin6_family = AF_INET6;
-        six->sin6_port = htons(static_cast<std::uint16_t>(port));
-        inet_pton(AF_INET6, ip.c_str(), &six->sin6_addr);
-        size = sizeof *six;
+        auto* ipv6_address = reinterpret_cast<sockaddr_in6*>(&storage);
+        ipv6_address->sin6_family = AF_INET6;
+        ipv6_address->sin6_port = htons(static_cast<std::uint16_t>(port));
+        inet_pton(AF_INET6, ip.c_str(), &ipv6_address->sin6_addr);
+        size = sizeof *ipv6_address;
         return;
     }
-    auto* four = reinterpret_cast<sockaddr_in*>(&storage);
-    four->sin_family = AF_INET;
-    four->sin_port = htons(static_cast<std::uint16_t>(port));
-    inet_pton(AF_INET, ip.c_str(), &four->sin_addr);
-    size = sizeof *four;
+    auto* ipv4_address = reinterpret_cast<sockaddr_in*>(&storage);
+    ipv4_address->sin_family = AF_INET;
+    ipv4_address->sin_port = htons(static_cast<std::uint16_t>(port));
+    inet_pton(AF_INET, ip.c_str(), &ipv4_address->sin_addr);
+    size = sizeof *ipv4_address;
 }
 
 std::string SocketAddress::ip() const {
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -17,8 +17,8 @@
 namespace silverreach::event {
 namespace {
 using namespace std::chrono_literals;
-constexpr std::size_t read_size = std::size_t{64} * 1024;  // bytes per recv()
-constexpr std::size_t idle_out_capacity =
+constexpr std::size_t max_read_bytes = std::size_t{64} * 1024;  // bytes per recv()
+constexpr std::size_t max_idle_capacity_bytes =
     4096;  // bytes; an empty output buffer with more is shrunk
 constexpr std::size_t max_pieces = 4;
 
@@ -69,15 +69,15 @@
     write({bytes});
 }
 void Stream::write(std::initializer_list<std::string_view> pieces) {
-    if (closed() || ended_) return;
+    if (closed() || end_requested_) return;
     std::size_t done = 0;
     if (!connecting_ && queued() == 0) {
-        std::array<iovec, max_pieces> parts{};
+        std::array<iovec, max_pieces> buffers{};
         msghdr message{};
-        message.msg_iov = parts.data();
+        message.msg_iov = buffers.data();
         for (const std::string_view piece : pieces)
             if (!piece.empty() && message.msg_iovlen < max_pieces)
-                parts[message.msg_iovlen++] = {const_cast<char*>(piece.data()), piece.size()};
+                buffers[message.msg_iovlen++] = {const_cast<char*>(piece.data()), piece.size()};
         const ssize_t count = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
         // An error is found again in the next turn. Reporting it there avoids calling on_broken
         // from within the owner's call of write().
@@ -86,7 +86,7 @@
     for (const std::string_view piece : pieces) {
         const std::size_t sent = std::min(done, piece.size());
         done -= sent;
-        out_.append(piece.substr(sent));
+        output_.append(piece.substr(sent));
     }
     update_interest();
 }
@@ -112,10 +112,10 @@
 }
 
 void Stream::receive() {
-    thread_local std::array<char, read_size> buffer;
+    thread_local std::array<char, max_read_bytes> buffer;
     const ssize_t count = ::recv(fd_.get(), buffer.data(), buffer.size(), 0);
     if (count > 0) {
-        note_arrival(static_cast<std::size_t>(count) < buffer.size());
+        record_arrival(static_cast<std::size_t>(count) < buffer.size());
         return owner_.on_data({buffer.data(), static_cast<std::size_t>(count)});
     }
     if (count < 0 && is_transient(errno)) return;
@@ -126,29 +126,29 @@
 
 // The first turn that watches the socket again reads bytes that arrived while it was not watched; a
 // later turn reads only bytes that arrived since the previous turn.
-void Stream::note_arrival(bool socket_emptied) {
+void Stream::record_arrival(bool socket_emptied) {
     const bool unwatched = unwatched_since_ != 0us && loop_.turn() <= watched_from_turn_;
-    arrived_ = unwatched ? unwatched_since_ : loop_.ready_since();
+    arrived_at_ = unwatched ? unwatched_since_ : loop_.ready_since();
     unwatched_since_ = 0us;
     if (socket_emptied) return;
-    unwatched_since_ = arrived_;
+    unwatched_since_ = arrived_at_;
     watched_from_turn_ = loop_.turn() + 1;
 }
 
 void Stream::flush() {
     if (queued() == 0) return;
-    const ssize_t count = ::send(fd_.get(), out_.data() + sent_, queued(), MSG_NOSIGNAL);
+    const ssize_t count = ::send(fd_.get(), output_.data() + sent_bytes_, queued(), MSG_NOSIGNAL);
     if (count < 0 && is_transient(errno)) return;
     if (count < 0) return fail(errno);
-    sent_ += static_cast<std::size_t>(count);
+    sent_bytes_ += static_cast<std::size_t>(count);
     if (queued() > 0) {
-        if (sent_ > read_size) out_.erase(0, std::exchange(sent_, 0));
+        if (sent_bytes_ > max_read_bytes) output_.erase(0, std::exchange(sent_bytes_, 0));
         return;
     }
-    out_.clear();
-    sent_ = 0;
-    if (out_.capacity() > idle_out_capacity) out_.shrink_to_fit();
-    if (ended_) ::shutdown(fd_.get(), SHUT_WR);
+    output_.clear();
+    sent_bytes_ = 0;
+    if (output_.capacity() > max_idle_capacity_bytes) output_.shrink_to_fit();
+    if (end_requested_) ::shutdown(fd_.get(), SHUT_WR);
     owner_.on_drained();
 }
 
@@ -178,16 +178,16 @@
 }
 void Stream::reset() {
     if (closed()) return;
-    const linger now{1, 0};
-    setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    const linger abortive{1, 0};
+    setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &abortive, sizeof abortive);
     close();
 }
 void Stream::end() {
-    if (closed() || std::exchange(ended_, true)) return;
+    if (closed() || std::exchange(end_requested_, true)) return;
     if (queued() == 0) ::shutdown(fd_.get(), SHUT_WR);
 }
 
-bool local_shortage(int error) {
+bool is_local_shortage(int error) {
     switch (error) {
         case EMFILE:
         case ENFILE:
@@ -215,9 +215,9 @@
     }
     SocketAddress address(ip, port, v6);
     // A connect that a signal interrupts continues in the background like one in progress.
-    const bool under_way = ::connect(fd.get(), address.get(), address.size) == 0 ||
-                           errno == EINPROGRESS || errno == EINTR;
-    if (!under_way) {
+    const bool started = ::connect(fd.get(), address.get(), address.size) == 0 ||
+                         errno == EINPROGRESS || errno == EINTR;
+    if (!started) {
         error = errno;
         return {};
     }
--- a/src/event/stream.h
+++ b/src/event/stream.h
@@ -39,11 +39,11 @@
     void write(std::string_view bytes);
     // As above for several pieces, which are passed to one system call; at most four.
     void write(std::initializer_list<std::string_view> pieces);
-    std::size_t queued() const { return out_.size() - sent_; }  // bytes
+    std::size_t queued() const { return output_.size() - sent_bytes_; }  // bytes
     // Back pressure: while `on` is false, nothing is read from the socket.
     void read(bool on);
     // Valid in on_data: the earliest time at which its bytes may have arrived, on the loop's clock.
-    Micros arrived() const { return arrived_; }
+    Micros arrived() const { return arrived_at_; }
     void close();  // closes the socket immediately and discards queued bytes
     void reset();  // like close(), but the peer receives a TCP reset
     void end();    // closes the sending half once the queued bytes have been sent
@@ -63,19 +63,19 @@
     void flush();
     void fail(int error);
     void update_interest();
-    void note_arrival(bool socket_emptied);
+    void record_arrival(bool socket_emptied);
 
     Loop& loop_;
     Fd fd_;
     StreamOwner& owner_;
     std::unique_ptr<IoWatcher> watcher_;
-    std::string out_;
-    std::size_t sent_ = 0;  // number of bytes of out_ that have been sent
+    std::string output_;
+    std::size_t sent_bytes_ = 0;  // number of bytes of output_ that have been sent
     bool connecting_;
     bool reading_ = true;
-    bool ended_ = false;         // end() was called
-    bool end_reported_ = false;  // on_end() was called
-    Micros arrived_{0};
+    bool end_requested_ = false;  // end() was called
+    bool end_reported_ = false;   // on_end() was called
+    Micros arrived_at_{0};
     // Bytes in the socket may have arrived since then, while it was not watched; 0: it was watched.
     Micros unwatched_since_{0};
     std::uint64_t watched_from_turn_ = 0;  // first turn in which the loop watches the socket
@@ -83,7 +83,7 @@
 
 // Whether the errno of a failed connect has a local cause (no descriptor, memory, port, route or
 // permission) and so says nothing about the peer.
-bool local_shortage(int error);
+bool is_local_shortage(int error);
 // Starts a non-blocking connect and returns its socket, with `error` set to 0. If a system call
 // fails immediately, returns an invalid descriptor and sets `error` to the errno.
 Fd connect_to(const std::string& ip, int port, bool v6, int& error);
--- a/src/event/system_random.cpp
+++ b/src/event/system_random.cpp
@@ -7,11 +7,11 @@
 namespace silverreach::event {
 
 std::uint64_t SystemRandom::operator()() {
-    if (used_ == buffer_.size()) {
+    if (next_index_ == buffer_.size()) {
         randombytes_buf(buffer_.data(), sizeof buffer_);
-        used_ = 0;
+        next_index_ = 0;
     }
-    return std::exchange(buffer_[used_++], 0);
+    return std::exchange(buffer_[next_index_++], 0);
 }
 
 }  // namespace silverreach::event
--- a/src/event/system_random.h
+++ b/src/event/system_random.h
@@ -18,7 +18,7 @@
 
   private:
     std::array<std::uint64_t, 512> buffer_{};
-    std::size_t used_ = buffer_.size();
+    std::size_t next_index_ = buffer_.size();
 };
 
 }  // namespace silverreach::event
--- a/src/event/timer_wheel.cpp
+++ b/src/event/timer_wheel.cpp
@@ -9,11 +9,11 @@
 using namespace std::chrono_literals;
 constexpr std::int64_t slot_us = 1000;
 constexpr std::int64_t no_slot = std::numeric_limits<std::int64_t>::max();
-constexpr std::size_t kept_slot_capacity = 64;  // timers
+constexpr std::size_t max_retained_slot_capacity = 64;  // timers
 }  // namespace
 
 TimerWheel::TimerWheel(Loop& loop, std::function<void(std::uint64_t)> on_timer)
-    : loop_(loop), on_timer_(std::move(on_timer)), fired_(current_slot()) {}
+    : loop_(loop), on_timer_(std::move(on_timer)), last_fired_slot_(current_slot()) {}
 
 std::int64_t TimerWheel::current_slot() const {
     return loop_.now().count() / slot_us;
@@ -22,35 +22,36 @@
 void TimerWheel::start(Micros delay, std::uint64_t token) {
     const std::int64_t due_us = (loop_.now() + std::max(delay, 0us)).count();
     ++pending_;
-    insert({std::max((due_us + slot_us - 1) / slot_us, fired_ + 1), token});
+    insert({std::max((due_us + slot_us - 1) / slot_us, last_fired_slot_ + 1), token});
     arm();
 }
 
 void TimerWheel::insert(Timer timer) {
-    if (timer.slot - fired_ > static_cast<std::int64_t>(slot_count)) {
+    if (timer.slot - last_fired_slot_ > static_cast<std::int64_t>(slot_count)) {
         overflow_.emplace(timer.slot, timer.token);
         return;
     }
     const std::size_t index = static_cast<std::size_t>(timer.slot) % slot_count;
     ring_[index].push_back(timer);
-    used_[index / word_bits] |= 1ull << index % word_bits;
+    used_slots_[index / word_bits] |= 1ull << index % word_bits;
 }
 
 // Scans the ring once, from the slot after the last fired one. The first word is scanned twice: its
 // upper bits first, its lower bits at the end.
 std::int64_t TimerWheel::next_used_slot() const {
-    constexpr std::size_t words = slot_count / word_bits;
-    const std::size_t from = static_cast<std::size_t>(fired_ + 1) % slot_count;
-    const std::uint64_t not_before_from = ~0ull << from % word_bits;
-    for (std::size_t step = 0; step <= words; ++step) {
-        const std::size_t word = (from / word_bits + step) % words;
-        std::uint64_t bits = used_[word];
-        if (step == 0) bits &= not_before_from;
-        if (step == words) bits &= ~not_before_from;
+    constexpr std::size_t word_count = slot_count / word_bits;
+    const std::size_t first_index = static_cast<std::size_t>(last_fired_slot_ + 1) % slot_count;
+    const std::uint64_t first_word_mask = ~0ull << first_index % word_bits;
+    for (std::size_t step = 0; step <= word_count; ++step) {
+        const std::size_t word = (first_index / word_bits + step) % word_count;
+        std::uint64_t bits = used_slots_[word];
+        if (step == 0) bits &= first_word_mask;
+        if (step == word_count) bits &= ~first_word_mask;
         if (!bits) continue;
         const std::size_t index =
             word * word_bits + static_cast<std::size_t>(std::countr_zero(bits));
-        return fired_ + 1 + static_cast<std::int64_t>((index + slot_count - from) % slot_count);
+        return last_fired_slot_ + 1 +
+               static_cast<std::int64_t>((index + slot_count - first_index) % slot_count);
     }
     return no_slot;
 }
@@ -58,43 +59,44 @@
 // Sets a loop timer for the next slot in use. Without pending timers it sets none.
 void TimerWheel::arm() {
     if (pending_ == 0) return;
-    const std::int64_t refill =
+    const std::int64_t refill_slot =
         overflow_.empty() ? no_slot
                           : overflow_.begin()->first - static_cast<std::int64_t>(slot_count) + 1;
-    const std::int64_t next = std::max(std::min(refill, next_used_slot()), fired_ + 1);
-    if (armed_ != 0 && armed_ <= next) return;
-    armed_ = next;
-    loop_.after(Micros(next * slot_us) - loop_.now(),
-                [this, next, alive = std::weak_ptr<bool>(alive_)] {
-                    if (alive.expired() || armed_ != next) return;
-                    armed_ = 0;
+    const std::int64_t next_slot =
+        std::max(std::min(refill_slot, next_used_slot()), last_fired_slot_ + 1);
+    if (armed_slot_ != 0 && armed_slot_ <= next_slot) return;
+    armed_slot_ = next_slot;
+    loop_.after(Micros(next_slot * slot_us) - loop_.now(),
+                [this, next_slot, alive = std::weak_ptr<bool>(alive_)] {
+                    if (alive.expired() || armed_slot_ != next_slot) return;
+                    armed_slot_ = 0;
                     fire();
                 });
 }
 
 void TimerWheel::fire() {
     const std::int64_t until = current_slot();
-    while (fired_ < until && pending_ > 0) {
-        const std::size_t index = static_cast<std::size_t>(++fired_) % slot_count;
+    while (last_fired_slot_ < until && pending_ > 0) {
+        const std::size_t index = static_cast<std::size_t>(++last_fired_slot_) % slot_count;
         refill_from_overflow();
         fire_slot(index);
     }
-    if (pending_ == 0) fired_ = std::max(fired_, until);
+    if (pending_ == 0) last_fired_slot_ = std::max(last_fired_slot_, until);
     arm();
 }
 
 void TimerWheel::refill_from_overflow() {
     while (!overflow_.empty() &&
-           overflow_.begin()->first - fired_ < static_cast<std::int64_t>(slot_count)) {
+           overflow_.begin()->first - last_fired_slot_ < static_cast<std::int64_t>(slot_count)) {
         const auto first = overflow_.begin();
-        insert({std::max(first->first, fired_), first->second});
+        insert({std::max(first->first, last_fired_slot_), first->second});
         overflow_.erase(first);
     }
 }
 
 void TimerWheel::fire_slot(std::size_t index) {
-    if (!(used_[index / word_bits] >> index % word_bits & 1)) return;
-    used_[index / word_bits] &= ~(1ull << index % word_bits);
+    if (!(used_slots_[index / word_bits] >> index % word_bits & 1)) return;
+    used_slots_[index / word_bits] &= ~(1ull << index % word_bits);
     std::vector<Timer> due;
     due.swap(ring_[index]);
     pending_ -= due.size();
@@ -102,7 +104,8 @@
         on_timer_(timer.token);
     due.clear();
     // The slot keeps its memory for the next use, unless a burst has made it large.
-    if (due.capacity() <= kept_slot_capacity && ring_[index].empty()) ring_[index].swap(due);
+    if (due.capacity() <= max_retained_slot_capacity && ring_[index].empty())
+        ring_[index].swap(due);
 }
 
 }  // namespace silverreach::event
--- a/src/event/timer_wheel.h
+++ b/src/event/timer_wheel.h
@@ -41,10 +41,11 @@
     Loop& loop_;
     std::function<void(std::uint64_t)> on_timer_;
     std::array<std::vector<Timer>, slot_count> ring_;
-    std::array<std::uint64_t, slot_count / word_bits> used_{};  // one bit per slot of the ring
-    std::multimap<std::int64_t, std::uint64_t> overflow_;       // timers beyond the ring, by slot
-    std::int64_t fired_;      // every slot up to this one has fired
-    std::int64_t armed_ = 0;  // slot for which a loop timer is set; 0: none
+    std::array<std::uint64_t, slot_count / word_bits>
+        used_slots_{};                                     // one bit per slot of the ring
+    std::multimap<std::int64_t, std::uint64_t> overflow_;  // timers beyond the ring, by slot
+    std::int64_t last_fired_slot_;                         // every slot up to this one has fired
+    std::int64_t armed_slot_ = 0;  // slot for which a loop timer is set; 0: none
     std::size_t pending_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/upstream/common/connection_pool.cpp
+++ b/src/upstream/common/connection_pool.cpp
@@ -121,8 +121,8 @@
     int error = 0;
     event::Fd fd = connect(*host.address, error);
     if (!fd)
-        return event::local_shortage(error) ? AcquireError::local_shortage
-                                            : AcquireError::connect_refused;
+        return event::is_local_shortage(error) ? AcquireError::local_shortage
+                                               : AcquireError::connect_refused;
     ++counts_.opened;
     ++open_;
     host.in_use.push_back(factory_(host, std::move(fd)));
--- a/src/upstream/http/upstream_connection.cpp
+++ b/src/upstream/http/upstream_connection.cpp
@@ -81,7 +81,7 @@
 void UpstreamConnection::on_exchange_broken(int error) {
     // Bytes of the request went out only after the connection was up.
     if (connected()) return fail(Outcome::reset);
-    fail(event::local_shortage(error) ? Outcome::not_started : Outcome::connect_failed);
+    fail(event::is_local_shortage(error) ? Outcome::not_started : Outcome::connect_failed);
 }
 
 bool UpstreamConnection::on_head(http::Head& head) {
--- a/src/upstream/resp/upstream_connection.cpp
+++ b/src/upstream/resp/upstream_connection.cpp
@@ -102,7 +102,7 @@
 }
 
 void UpstreamConnection::on_exchange_broken(int error) {
-    if (!connected() && event::local_shortage(error)) return return_unsent();
+    if (!connected() && event::is_local_shortage(error)) return return_unsent();
     fail_lost();
 }
 
--- a/tests/event/event_test.cpp
+++ b/tests/event/event_test.cpp
@@ -10,20 +10,20 @@
 using namespace silverreach::event;
 using namespace std::chrono_literals;
 
-TEST(Loop, ACallThatSetsItselfForNowDoesNotStarveTheRest) {
+TEST(Loop, ZeroDelayTimerThatRepeatsDoesNotStarveOtherTimers) {
     Loop loop;
     int turns = 0;
-    std::function<void()> again = [&] {
+    std::function<void()> repeat = [&] {
         ++turns;
-        loop.after(0us, again);
+        loop.after(0us, repeat);
     };
-    again();
+    repeat();
     loop.after(5ms, [&] { loop.stop(); });
-    loop.run();  // before, this never came back
+    loop.run();  // does not return if new zero-delay timers fire in the same turn
     EXPECT_GT(turns, 2);
 }
 
-TEST(Loop, TimersFireInTheOrderOfTheirTimeAndThenOfTheirSetting) {
+TEST(Loop, TimersFireInOrderOfDueTimeAndThenOfCreation) {
     Loop loop;
     std::string order;
     loop.after(4ms, [&] { order += "c"; });
@@ -34,9 +34,9 @@
     EXPECT_EQ(order, "abc");
 }
 
-// After a stall answers that had come were found behind the timers, and every host looked silent:
-// all were put out at once.
-TEST(Loop, AfterAStallWhatHasComeIsReadBeforeTimersFire) {
+// Guards against a fault in which, after a stall of the process, timers fired before responses that
+// had already arrived were read. All hosts then seemed not to respond and were ejected together.
+TEST(Loop, AfterAStallArrivedBytesAreReadBeforeTimersFire) {
     Loop loop;
     int pipe[2];
     ASSERT_EQ(::pipe(pipe), 0);
@@ -57,7 +57,7 @@
     EXPECT_EQ(order, "read timer ");
 }
 
-TEST(TimerWheel, EachFiresOnceAtItsTimeOrUpToAMillisecondLater) {
+TEST(TimerWheel, EachTimerFiresOnceAtOrAfterItsDueTime) {
     Loop loop;
     std::vector<std::pair<Micros, int>> fired(3000, {Micros(0), 0});
     std::vector<Micros> due(fired.size());
@@ -67,35 +67,35 @@
     });
     std::mt19937_64 random(7);
     for (std::size_t i = 0; i < due.size(); ++i) {
-        // Some beyond the ring of slots.
+        // Every 100th timer lies beyond the ring of slots.
         const Micros wait(i % 100 == 0 ? 4'100'000 + static_cast<std::int64_t>(random() % 300'000)
                                        : static_cast<std::int64_t>(random() % 400'000));
         due[i] = loop.now() + wait;
         timers.start(wait, i);
     }
-    std::function<void()> look = [&] {
+    std::function<void()> stop_when_done = [&] {
         if (timers.pending() == 0) return loop.stop();
-        loop.after(5ms, look);
+        loop.after(5ms, stop_when_done);
     };
-    look();
+    stop_when_done();
     loop.run();
     for (std::size_t i = 0; i < due.size(); ++i) {
         ASSERT_EQ(fired[i].second, 1) << i;
         EXPECT_GE(fired[i].first, due[i]);
         EXPECT_LT(fired[i].first, due[i] + 100ms)
-            << "on a busy machine; the slot itself is a millisecond";
+            << "slots are 1 ms; the rest allows for a busy machine";
     }
 }
 
-TEST(TimerWheel, OneThatStartsAnotherForNowDoesNotSpin) {
+TEST(TimerWheel, TimerThatStartsAnotherWithZeroDelayDoesNotSpin) {
     Loop loop;
     int fired = 0;
-    TimerWheel* self = nullptr;
+    TimerWheel* wheel = nullptr;
     TimerWheel timers(loop, [&](std::uint64_t token) {
         ++fired;
-        self->start(0us, token);
+        wheel->start(0us, token);
     });
-    self = &timers;
+    wheel = &timers;
     timers.start(0us, 1);
     loop.after(50ms, [&] { loop.stop(); });
     loop.run();
@@ -103,13 +103,13 @@
     EXPECT_LE(fired, 60);
 }
 
-TEST(Stream, WhatDoesNotFitIsKeptInOrder) {
+TEST(Stream, BytesQueuedByWriteArriveInOrder) {
     struct Sink : StreamOwner {
-        std::string got;
-        bool over = false;
-        void on_data(std::string_view b) override { got.append(b); }
-        void on_end() override { over = true; }
-        void on_broken(int) override { over = true; }
+        std::string received;
+        bool ended = false;
+        void on_data(std::string_view bytes) override { received.append(bytes); }
+        void on_end() override { ended = true; }
+        void on_broken(int) override { ended = true; }
     } reader, writer;
     Loop loop;
     std::unique_ptr<Stream> in;
@@ -120,14 +120,16 @@
     Stream out(loop, connect_to("127.0.0.1", listener.port(), false, error), writer, true);
     std::string expected;
     for (int i = 0; i < 3000; ++i) {
-        const std::string a(static_cast<std::size_t>(i), static_cast<char>('a' + i % 26)),
-            b = std::to_string(i);
-        out.write({a, b, "|"});
-        expected += a + b + "|";
+        const std::string letters(static_cast<std::size_t>(i), static_cast<char>('a' + i % 26)),
+            number = std::to_string(i);
+        out.write({letters, number, "|"});
+        expected += letters + number + "|";
     }
     out.end();
-    std::function<void()> look = [&] { reader.over ? loop.stop() : loop.after(1ms, look); };
-    look();
+    std::function<void()> stop_at_end = [&] {
+        reader.ended ? loop.stop() : loop.after(1ms, stop_at_end);
+    };
+    stop_at_end();
     loop.run();
-    EXPECT_TRUE(reader.got == expected) << reader.got.size() << " of " << expected.size();
+    EXPECT_TRUE(reader.received == expected) << reader.received.size() << " of " << expected.size();
 }
