--- a/src/upstream/common/attempt_table.h
+++ b/src/upstream/common/attempt_table.h
@@ -1,4 +1,4 @@
-// The connections that carry attempts, by attempt. Loop thread only; owns nothing.
+// Maps attempts to the connections that carry them. Used on the loop's thread; owns no connection.
 #pragma once
 
 #include <unordered_map>
@@ -7,7 +7,7 @@
 
 namespace silverreach::upstream {
 
-// The key of exchanges that belong to no attempt: health checks.
+// The key of health checks, the exchanges that belong to no attempt.
 inline constexpr core::AttemptKey health_check_key{0, -1};
 
 template <class Connection>
@@ -17,7 +17,7 @@
         connections_[key] = &connection;
     }
     void erase(const core::AttemptKey& key) { connections_.erase(key); }
-    // Null for an attempt that has ended or was never sent.
+    // Returns null for an attempt that has ended or was never sent.
     Connection* find(const core::AttemptKey& key) const {
         const auto it = connections_.find(key);
         return it == connections_.end() ? nullptr : it->second;
--- a/src/upstream/common/connection_pool.cpp
+++ b/src/upstream/common/connection_pool.cpp
@@ -87,8 +87,8 @@
     return open_connection(*connections);
 }
 
-// A host may close an idle connection just as a request is written to it. The request then ends as
-// one that may have run, which only an idempotent one survives.
+// A host may close an idle connection while a request is being written to it. The request may then
+// have run, so only an idempotent request can be retried.
 PooledConnection* ConnectionPool::take_idle(HostConnections& host, bool idempotent) {
     while (!host.idle.empty()) {
         const Micros idle_time = loop_.now() - host.idle.back()->unused_since();
@@ -198,7 +198,7 @@
     }
 }
 
-// Retired connections may be in the middle of a callback, so they are destroyed a turn later.
+// A retired connection may be executing a callback, so its destruction is deferred.
 void ConnectionPool::retire(std::unique_ptr<PooledConnection> connection) {
     connection->retire();
     --open_;
--- a/src/upstream/common/connection_pool.h
+++ b/src/upstream/common/connection_pool.h
@@ -1,9 +1,9 @@
-// The connections to all hosts of one protocol: reuse with the most recently used first, limits,
-// eviction, idle time-outs and closing what is no longer listed. Which host an attempt goes to,
-// when and how often is decided elsewhere.
+// Manages the connections to all hosts of one protocol: reuse (most recently used first), limits,
+// eviction, idle time-outs, and closing connections to hosts that are no longer listed. The pool
+// does not decide to which host an attempt is sent, when, or how often.
 //
-// Runs on the loop's thread. Owns its connections; a retired one is closed at once and destroyed at
-// the loop's next turn.
+// Runs on the loop's thread and owns its connections. A retired connection is closed immediately
+// and destroyed once the current callback of the loop has returned.
 #pragma once
 
 #include <functional>
@@ -22,19 +22,21 @@
 namespace silverreach::upstream {
 
 enum class AcquireError {
-    unknown_host,        // no host of that name, or none with a known address
+    unknown_host,        // no host has that name, or its address is not known
     host_limit_reached,  // PoolPolicy::max_in_use_per_host
-    pool_limit_reached,  // PoolPolicy::max_connections, and nothing can be evicted
-    local_shortage,      // the system lacks descriptors, ports or memory
-    connect_refused      // the system refused at once
+    pool_limit_reached,  // PoolPolicy::max_connections, and no connection can be evicted
+    local_shortage,      // a local shortage, such as of descriptors, ports or memory
+    connect_refused      // connect() failed immediately for another reason
 };
-// How an attempt ends that got no connection: `not_started` where the host is not to blame.
+// Returns the outcome of an attempt that got no connection: `not_started` for the pool limit and a
+// local shortage, which say nothing about the host, otherwise `connect_failed`.
 Outcome outcome_of(AcquireError error);
 
 // What a connection is acquired for.
 struct ExchangeTraits {
-    bool idempotent = true;     // may be repeated if the connection turns out to be closed
-    bool health_check = false;  // passes the limit of a host: there are few, and they show its load
+    bool idempotent = true;  // may be repeated if the host has closed the connection
+    // Exempt from the host limit, because health checks are few and report the host's load.
+    bool health_check = false;
 };
 
 enum class DropReason {
@@ -45,47 +47,50 @@
 // A change of one host in discovery.
 struct HostUpdate {
     std::string host;
-    bool available = true;                    // may get new exchanges
-    std::optional<config::Endpoint> address;  // none: the known one stays
+    bool available = true;                    // may receive new exchanges
+    std::optional<config::Endpoint> address;  // none: the known address is kept
 };
 
 class ConnectionPool {
   public:
-    // Makes the protocol's connection on a socket that is connecting to `host`.
+    // Creates the protocol's connection for a socket that is connecting to `host`.
     using Factory =
         std::function<std::unique_ptr<PooledConnection>(HostConnections& host, event::Fd fd)>;
 
     struct Stats {
-        std::size_t open = 0;           // connections now
-        std::size_t idle = 0;           // of these, idle
-        std::size_t hosts = 0;          // hosts now
-        std::uint64_t opened = 0;       // connections opened
-        std::uint64_t reused = 0;       // exchanges begun on an idle connection
-        std::uint64_t stale = 0;        // unused connections found closed, outdated or too old
-        std::uint64_t unsolicited = 0;  // unused connections on which bytes came
-        std::uint64_t full = 0;         // exchanges that ended as pool_limit_reached
+        std::size_t open = 0;      // current connections
+        std::size_t idle = 0;      // current idle connections
+        std::size_t hosts = 0;     // current hosts
+        std::uint64_t opened = 0;  // connections opened
+        std::uint64_t reused = 0;  // exchanges that reused an idle connection
+        std::uint64_t stale = 0;   // unused connections closed by the host, or not usable on reuse
+        std::uint64_t unsolicited = 0;  // unused connections that received bytes
+        std::uint64_t full = 0;         // calls of acquire that failed with pool_limit_reached
     };
 
     ConnectionPool(event::Loop& loop, PoolPolicy policy, Factory factory);
 
     bool has_host(const std::string& host) const { return hosts_.contains(host); }
-    // Adds a listed host unless it is known already.
+    // Adds a host as listed. Does nothing if it is known already.
     void add_host(const std::string& host, std::optional<config::Endpoint> address);
-    // Closes unused connections to hosts that are unavailable or have moved; those in use end with
-    // their exchanges. `complete`: hosts without an update are no longer listed.
+    // Closes unused connections to hosts that are unavailable or have a new address; connections in
+    // use are closed at the end of their exchanges. `complete`: hosts without an update are no
+    // longer listed.
     void update_hosts(bool complete, const std::vector<HostUpdate>& updates);
 
-    // An idle connection, or a new one that is connecting; it counts as in use until `release`.
+    // Returns an idle connection or a new one that is connecting. It counts as in use until
+    // release().
     std::variant<PooledConnection*, AcquireError> acquire(const std::string& host,
                                                           const ExchangeTraits& traits);
-    // The connection's exchange has ended. `reusable`: kept for the next one if its host and the
-    // policy allow; else retired.
+    // Takes back a connection whose exchange has ended. The pool keeps it if `reusable` is true,
+    // its host is listed at the same address and the policy allows it; otherwise the pool retires
+    // it.
     void release(PooledConnection& connection, bool reusable);
-    // Closes an unused connection: one whose handshake goes on if there is any, else the one that
-    // has been idle longest, to any host. False where every connection is in use.
+    // Closes one unused connection to any host: one whose handshake is in progress if there is any,
+    // otherwise the one that has been idle longest. Returns false if every connection is in use.
     bool evict_unused();
 
-    // From connections of this pool:
+    // Called by the connections of this pool:
     void on_pending_connected(PooledConnection& connection);
     void drop_unused(PooledConnection& connection, DropReason reason);
 
@@ -115,7 +120,7 @@
     std::unordered_map<std::string, std::unique_ptr<HostConnections>> hosts_;
     event::DeferredDeletion<PooledConnection> retired_;
     std::size_t open_ = 0;
-    Stats counts_;  // what is counted, not what is there now
+    Stats counts_;  // only the cumulative counts
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/upstream/common/host_connections.h
+++ b/src/upstream/common/host_connections.h
@@ -1,4 +1,4 @@
-// The connections to one host and where it listens. Filled and emptied by ConnectionPool only.
+// The connections to one host, and its address. Only ConnectionPool changes the lists.
 #pragma once
 
 #include <memory>
@@ -15,10 +15,10 @@
     using List = std::vector<std::unique_ptr<PooledConnection>>;
 
     std::string host;
-    std::optional<config::Endpoint> address;  // none while it is not known
-    List idle;                                // the most recently used last
-    List in_use;                              // in no order
-    List pending;        // the handshake goes on, and no exchange waits for it; oldest first
+    std::optional<config::Endpoint> address;  // empty while it is not known
+    List idle;                                // ordered by last use, most recent last
+    List in_use;                              // unordered
+    List pending;        // handshake in progress, no exchange waits for it; oldest first
     bool listed = true;  // discovery lists the host as available
 
     bool empty() const { return idle.empty() && in_use.empty() && pending.empty(); }
--- a/src/upstream/common/pool_policy.h
+++ b/src/upstream/common/pool_policy.h
@@ -1,5 +1,5 @@
-// What the pools of the two protocols do differently. Everything else in this folder is the same
-// for both.
+// The settings in which the connection pools of the two protocols differ. All other code in this
+// folder is the same for both.
 #pragma once
 
 #include <cstddef>
@@ -12,29 +12,30 @@
 inline constexpr std::size_t unlimited = std::numeric_limits<std::size_t>::max();
 
 struct PoolPolicy {
-    // Connections in use to one host; a request beyond them fails, a health check does not. HTTP
-    // limits here, as an operator sizes its hosts one by one.
+    // Maximum connections in use per host. Beyond it a request fails, but a health check does not.
+    // Set for HTTP, where operators size each host separately.
     std::size_t max_in_use_per_host = unlimited;
-    // Connections to all hosts. At the limit an unused one is evicted. RESP limits here: its
-    // process is given a number of descriptors as a whole.
+    // Maximum connections to all hosts together. At the limit an unused connection is evicted. Set
+    // for RESP, whose process has a limit on its total number of descriptors.
     std::size_t max_connections = unlimited;
-    // Evicts an unused connection where the system has no descriptor for a new one. The RESP
-    // gateway runs close to its descriptor limit by design.
+    // Evicts an unused connection if the system has no descriptor for a new one. Set for RESP, as
+    // the RESP gateway runs close to its descriptor limit by design.
     bool evict_on_descriptor_shortage = false;
-    // Discards an idle connection that is too old, belongs to an earlier address of its host, or
-    // has something to read. Needed where hosts move between addresses (RESP); an HTTP host is
-    // named by its address, and its reset is seen as that of the attempt.
+    // Discards an idle connection on reuse if it has reached the idle time-out, was opened to an
+    // earlier address of its host, or has unread input. Needed for RESP, whose hosts move between
+    // addresses. An HTTP host is identified by its address, and a reset of its connection counts as
+    // a reset of the attempt.
     bool verify_before_reuse = false;
-    // Unused connections kept for each host while their handshake goes on. HTTP keeps none: an
-    // attempt that gives up there closes its connection.
+    // Maximum unused connections kept per host while their handshake is in progress. 0 for HTTP,
+    // where an attempt that ends during the handshake closes its connection.
     std::size_t max_pending_per_host = 0;
 
-    Micros idle_timeout{0};     // an idle connection is closed after this
-    Micros pending_timeout{0};  // an unused connection whose handshake goes on is closed after this
-    // Idle time after which only idempotent requests reuse a connection, as its host may be closing
-    // it; `Micros::max()` sets no limit.
+    Micros idle_timeout{0};     // after which an idle connection is closed
+    Micros pending_timeout{0};  // after which an unused connection that is connecting is closed
+    // Idle time after which only idempotent requests reuse a connection, because its host may be
+    // closing it. `Micros::max()`: no limit.
     Micros non_idempotent_reuse_limit = Micros::max();
-    Micros sweep_interval{0};  // time between two checks of the time-outs above
+    Micros sweep_interval{0};  // time between checks of the two time-outs
 };
 
 }  // namespace silverreach::upstream
--- a/src/upstream/common/pooled_connection.cpp
+++ b/src/upstream/common/pooled_connection.cpp
@@ -12,8 +12,8 @@
       address_(*host.address),
       stream_(loop, std::move(fd), *this, true) {}
 
-// UBSan reads an object's vptr through a pipe. Connections are destroyed exactly where descriptors
-// are short, the pipe fails there, and a valid vptr is reported as invalid.
+// UBSan reads an object's vptr through a pipe. Connections are destroyed when the process runs out
+// of descriptors; the pipe then cannot be created, and UBSan reports a valid vptr as invalid.
 [[gnu::no_sanitize("vptr")]] PooledConnection::~PooledConnection() = default;
 
 bool PooledConnection::has_exchange() const {
@@ -52,7 +52,7 @@
 
 void PooledConnection::on_data(std::string_view bytes) {
     if (has_exchange()) return on_response_bytes(bytes);
-    // No request is under way: the host's framing cannot be trusted any more.
+    // Bytes without a request in progress mean that the host's framing cannot be trusted any more.
     pool_.drop_unused(*this, DropReason::unsolicited_bytes);
 }
 
--- a/src/upstream/common/pooled_connection.h
+++ b/src/upstream/common/pooled_connection.h
@@ -1,5 +1,5 @@
 // One connection to a host. It carries one exchange (an attempt or a health check) at a time and
-// returns to its pool when that ends. The protocol is a derived class's.
+// returns to its pool when the exchange ends. Derived classes implement the protocol.
 //
 //   pending ──connected──> idle ──begin──> starting ──sent──> awaiting_response ──> receiving_body
 //      │ ▲                   ▲                 │                     │                    │
@@ -7,8 +7,9 @@
 //      ▼ │
 //   connecting ──connected──> starting          any ──retire──> closed
 //
-// Runs on the loop's thread. The pool owns it; once retired it is destroyed at the loop's next
-// turn, so it may be retired from within its own callbacks.
+// Runs on the loop's thread. The pool owns the connection. A retired connection is destroyed after
+// the current callback of the loop has returned, so it may be retired from within its own
+// callbacks.
 #pragma once
 
 #include <memory>
@@ -27,16 +28,17 @@
 class PooledConnection : public event::StreamOwner {
   public:
     enum class State {
-        pending,            // handshake under way, no exchange
-        connecting,         // handshake under way, an exchange waits for its end
+        pending,            // handshake in progress, no exchange
+        connecting,         // handshake in progress, an exchange waits for it
         idle,               // connected, no exchange
-        starting,           // connected; the exchange's request has not been written
+        starting,           // connected; the request of the exchange is not written yet
         awaiting_response,  // the request is written; bytes of it may still be queued
-        receiving_body,     // the response's head is read
+        receiving_body,     // the head of the response has been read
         closed
     };
 
-    // Takes over a connecting socket; `host` must know its address and outlives the connection.
+    // Takes ownership of a connecting socket. `host` must have an address and outlive the
+    // connection.
     PooledConnection(event::Loop& loop, ConnectionPool& pool, HostConnections& host, event::Fd fd);
     ~PooledConnection() override;
     PooledConnection(const PooledConnection&) = delete;
@@ -46,7 +48,8 @@
     bool has_exchange() const;
     bool connected() const;
     bool is_health_check() const { return key_ == health_check_key; }
-    // All bytes of the request have been passed to the system. Before that it cannot have run.
+    // Whether all bytes of the request have been passed to the system. Before that the request
+    // cannot have run.
     bool request_sent() const { return request_written() && stream_.queued() == 0; }
     bool opened_to(const std::optional<config::Endpoint>& address) const {
         return address == address_;
@@ -58,7 +61,7 @@
 
     Micros unused_since() const { return unused_since_; }  // loop time
     void set_unused_since(Micros now) { unused_since_ = now; }
-    void retire();  // closes the socket at once
+    void retire();  // closes the socket immediately
 
     void on_connected() final;
     void on_data(std::string_view bytes) final;
@@ -66,11 +69,11 @@
     void on_broken(int error) final;
 
   protected:
-    // The connection has come up under an exchange: its request can be written.
+    // Called when the handshake completes while an exchange waits: the request can be written.
     virtual void on_ready() = 0;
     virtual void on_response_bytes(std::string_view bytes) = 0;
-    virtual void on_remote_close() = 0;              // the host has ended its half
-    virtual void on_exchange_broken(int error) = 0;  // errno; the stream is closed
+    virtual void on_remote_close() = 0;              // the host closed its half
+    virtual void on_exchange_broken(int error) = 0;  // `error` is an errno; the stream is closed
 
     // State changes of the exchange.
     void begin_exchange(const core::AttemptKey& key);
@@ -82,12 +85,13 @@
         return state_ == State::awaiting_response || state_ == State::receiving_body;
     }
     Micros elapsed() const { return loop_.now() - exchange_started_; }  // since begin_exchange
-    // Changes with each begin and end: callbacks compare it to see whether theirs is still current.
+    // Changes at each start and end of an exchange. Code that runs callbacks compares it to detect
+    // that the exchange has ended meanwhile.
     std::uint64_t exchange_id() const { return exchange_id_; }
     bool is_current(std::uint64_t exchange_id) const {
         return exchange_id_ == exchange_id && has_exchange();
     }
-    // Calls once `delay` from now, unless the exchange of now has ended by then.
+    // Calls `callback` once, `delay` from now, unless the current exchange has ended by then.
     template <class Callback>
     void after_in_exchange(Micros delay, Callback callback) {
         loop_.after(delay, [this, callback = std::move(callback), exchange_id = exchange_id_,
--- a/src/upstream/http/health_check.h
+++ b/src/upstream/http/health_check.h
@@ -1,4 +1,4 @@
-// The health check of an HTTP host: its request and how the response counts.
+// The health check of an HTTP host: its request and the evaluation of the response.
 #pragma once
 
 #include <memory>
@@ -10,11 +10,12 @@
 
 namespace silverreach::upstream_http {
 
-// `path` is the configuration's, `host` the host's address as listed.
+// `path` is the configured path, `host` the host's address as in the endpoint list.
 std::shared_ptr<const OutRequest> health_check_request(const std::string& path,
                                                        const std::string& host);
 
-// `success` for a status below 400 that is not a rejection by `rules`, else `error`.
+// Returns `success` for a status below 400 that is not a rejection according to `rules`, otherwise
+// `error`.
 Outcome health_check_outcome(const http::Head& head, const config::HostAnswers& rules);
 
 }  // namespace silverreach::upstream_http
--- a/src/upstream/http/load_report.h
+++ b/src/upstream/http/load_report.h
@@ -1,4 +1,4 @@
-// Reads the load that a host reports in the response field `endpoint-load-metrics` (ORCA).
+// Parses the load that a host reports in the response field `endpoint-load-metrics` (ORCA).
 #pragma once
 
 #include <string_view>
@@ -7,8 +7,8 @@
 
 namespace silverreach::upstream_http {
 
-// Takes the forms "JSON {...}" and "TEXT name=value,...". Figures that cannot be read, and other
-// forms, leave the report's fields unset.
+// Accepts the formats "JSON {...}" and "TEXT name=value,...". Values that cannot be parsed and
+// fields in another format leave the members of the report unset.
 LoadReport parse_load_report(std::string_view field);
 
 }  // namespace silverreach::upstream_http
--- a/src/upstream/http/response_outcome.h
+++ b/src/upstream/http/response_outcome.h
@@ -1,4 +1,4 @@
-// Decides how a host's response counts for its attempt.
+// Maps a host's response to the outcome of its attempt.
 #pragma once
 
 #include "config/config.h"
@@ -7,8 +7,8 @@
 
 namespace silverreach::upstream_http {
 
-// `rejected` where the configuration's rules say that the host had no capacity, `error` for a
-// status from 500 on, else `success`.
+// Returns `rejected` if the configured rules say that the host had no capacity, `error` for other
+// statuses of 500 and above, otherwise `success`.
 Outcome outcome_of(const http::Head& head, const config::HostAnswers& rules);
 
 }  // namespace silverreach::upstream_http
--- a/src/upstream/http/upstream.cpp
+++ b/src/upstream/http/upstream.cpp
@@ -38,7 +38,7 @@
     connection.begin(key, std::move(request));
 }
 
-// A host may be chosen before its list has been applied here.
+// The core may choose a host before update_hosts() has received the list that contains it.
 std::variant<upstream::PooledConnection*, upstream::AcquireError> Upstream::acquire(
     const std::string& host, const upstream::ExchangeTraits& traits) {
     if (!pool_.has_host(host)) pool_.add_host(host, config::parse_endpoint(host));
--- a/src/upstream/http/upstream.h
+++ b/src/upstream/http/upstream.h
@@ -1,5 +1,5 @@
-// Sends attempts and health checks to HTTP hosts, each on a connection of its own from the pool.
-// Which host, when and how often is decided by the core.
+// Sends attempts and health checks to HTTP hosts, each on a separate connection from the pool. The
+// core decides to which host an attempt is sent, when, and how often.
 #pragma once
 
 #include <memory>
@@ -20,19 +20,19 @@
 
     Upstream(event::Loop& loop, const config::Config& config, AttemptCallbacks& callbacks);
 
-    // `host`: an address as in the endpoint list. The attempt may end within the call.
+    // `host` is an address as in the endpoint list. The attempt may end within the call.
     void send(const core::AttemptKey& key, const std::string& host,
               std::shared_ptr<const OutRequest> request);
-    // Closes the attempt's connection; no callback follows.
+    // Ends the attempt and closes its connection; no callback follows.
     void cancel(const core::AttemptKey& key);
-    // Cancels an attempt whose request has not been sent completely. False where it has, or where
-    // the attempt is not known.
+    // Cancels an attempt whose request has not been sent completely. Returns false if it has been
+    // sent or the attempt is not known.
     bool withdraw(const core::AttemptKey& key);
-    // Back pressure: stops or resumes reading the response of an attempt.
+    // Back pressure: pauses or resumes reading the response of an attempt.
     void set_reading(const core::AttemptKey& key, bool enabled);
     void start_health_check(const std::string& host);
-    // `hosts` is the complete endpoint list. Idle connections to hosts that are not available are
-    // closed; those in use end with their attempts.
+    // `hosts` is the complete endpoint list. Closes unused connections to hosts that are not
+    // available; connections in use are closed when their attempts end.
     void update_hosts(const std::vector<EndpointEntry>& hosts);
 
     Stats stats() const { return pool_.stats(); }
--- a/src/upstream/http/upstream_connection.cpp
+++ b/src/upstream/http/upstream_connection.cpp
@@ -52,7 +52,7 @@
         if (is_current(exchange)) fail(Outcome::not_started);
         return;
     }
-    if (!is_current(exchange)) return;  // cancelled by the callback
+    if (!is_current(exchange)) return;  // the callback cancelled the attempt
     mark_request_written();
     const std::string head_end =
         is_health_check() ? "\r\n" : fmt::format("Silverreach-Attempt: {}\r\n\r\n", key().attempt);
@@ -79,7 +79,7 @@
 }
 
 void UpstreamConnection::on_exchange_broken(int error) {
-    // Bytes of the request went out only after the connection was up.
+    // Bytes of the request are sent only on an established connection.
     if (connected()) return fail(Outcome::reset);
     fail(event::is_local_shortage(error) ? Outcome::not_started : Outcome::connect_failed);
 }
@@ -125,7 +125,8 @@
 
 void UpstreamConnection::complete_response(bool more_bytes) {
     const bool delivered = std::exchange(deliver_body_, false);
-    // After an early response the rest of the request would be read as the next one.
+    // If the response came before the whole request was sent, the host would read the rest of the
+    // request as the next one.
     const bool reusable =
         !close_after_response_ && !more_bytes && request_sent() && !stream().closed();
     const core::AttemptKey ended = key();
--- a/src/upstream/http/upstream_connection.h
+++ b/src/upstream/http/upstream_connection.h
@@ -1,6 +1,6 @@
-// One HTTP/1.1 connection to a host: writes the request of an attempt or health check and reads its
-// response. States are those of upstream::PooledConnection; `receiving_body` begins with a
-// response's head, whether its body is delivered or discarded.
+// One HTTP/1.1 connection to a host: writes the request of an attempt or health check and reads the
+// response. The states are those of upstream::PooledConnection; `receiving_body` begins when the
+// head of a response has been read, whether its body is delivered or discarded.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 class UpstreamConnection;
 using AttemptTable = upstream::AttemptTable<UpstreamConnection>;
 
-// What all connections of an Upstream share; outlives them.
+// Shared by all connections of an Upstream; outlives them.
 struct ConnectionContext {
     event::Loop& loop;
     const config::Config& config;
@@ -28,7 +28,7 @@
   public:
     UpstreamConnection(ConnectionContext& context, upstream::HostConnections& host, event::Fd fd);
 
-    // Sends the request now, or once the connection is up.
+    // Sends the request now, or once the connection is established.
     void begin(const core::AttemptKey& key, std::shared_ptr<const OutRequest> request);
     // Ends the exchange and closes the connection without a callback.
     void abandon();
@@ -48,7 +48,7 @@
     void limit_health_check_time();
     void write_request();
     bool deliver_head(Outcome outcome, const LoadReport& report, http::Head& head);
-    // `more_bytes`: the host sent, or ended, beyond the response.
+    // `more_bytes`: the host sent bytes after the response or closed its half.
     void complete_response(bool more_bytes);
     void fail(Outcome outcome);
     void release(bool reusable);
--- a/src/upstream/resp/health_check.h
+++ b/src/upstream/resp/health_check.h
@@ -1,4 +1,4 @@
-// The health check of a RESP host: its command and how the reply counts.
+// The health check of a RESP host: its command and the evaluation of the reply.
 #pragma once
 
 #include <string>
@@ -8,10 +8,11 @@
 
 namespace silverreach::upstream_resp {
 
-// INFO load, whose reply is the load report, or PING.
+// Returns the command INFO load, whose reply is the load report, or PING.
 std::string health_check_command(bool request_load_report);
 
-// `success` for a status line, a bulk string or a null; a bulk string is read as the load report.
+// Returns `success` for a status line, a bulk string or a null, otherwise `error`. A bulk string is
+// parsed as the load report.
 HostResponse parse_health_check(const resp::Reply& reply);
 
 }  // namespace silverreach::upstream_resp
--- a/src/upstream/resp/host_response.cpp
+++ b/src/upstream/resp/host_response.cpp
@@ -7,8 +7,8 @@
 namespace silverreach::upstream_resp {
 namespace {
 constexpr double unset = -1;
-constexpr double max_figure = 1e6;  // no load or cost is larger
-// Elements of a successful reply.
+constexpr double max_figure = 1e6;  // upper limit of a plausible load or unit cost
+// Indexes of the elements of a successful reply, and their number.
 constexpr std::size_t value_element = 0;
 constexpr std::size_t properties_element = 1;
 constexpr std::size_t report_element = 2;
@@ -21,7 +21,8 @@
     return value >= 0 && value <= max_figure ? value : unset;
 }
 
-// Calls `visit(name, figure)` for each "name=figure" of a list separated by commas.
+// Calls `visit(name, value)` for each "name=value" of a comma-separated list. The value is `unset`
+// if it cannot be parsed or is out of range.
 template <typename Visitor>
 void for_each_figure(std::string_view text, Visitor visit) {
     while (!text.empty()) {
--- a/src/upstream/resp/host_response.h
+++ b/src/upstream/resp/host_response.h
@@ -1,4 +1,4 @@
-// What a host's complete RESP reply to a request says. No I/O.
+// Interprets a host's complete RESP reply to a request. Does no I/O.
 #pragma once
 
 #include <string>
@@ -11,16 +11,17 @@
 
 struct HostResponse {
     Outcome outcome = Outcome::error;
-    std::string value;        // of a successful one
-    double actual_units = 0;  // units the request has cost; 0 where not reported
+    std::string value;        // of a successful response
+    double actual_units = 0;  // unit cost of the request as the host reports it; 0: not reported
     LoadReport report;
 };
 
-// An array of value, properties and load report is a success, the error BUSY a rejection, and
-// everything else an error.
+// Returns `success` for an array of value, properties and load report, `rejected` for the error
+// BUSY, and `error` for any other reply.
 HostResponse parse_response(resp::Reply reply);
 
-// "inflight=7,queue=2,util=0.61"; figures that cannot be read leave the report's fields unset.
+// Parses text such as "inflight=7,queue=2,util=0.61". Values that cannot be parsed leave the
+// members of the report unset.
 LoadReport parse_load_report(std::string_view text);
 
 }  // namespace silverreach::upstream_resp
--- a/src/upstream/resp/response_reader.cpp
+++ b/src/upstream/resp/response_reader.cpp
@@ -3,7 +3,7 @@
 namespace silverreach::upstream_resp {
 namespace {
 constexpr std::size_t kibibyte = 1024;
-// Hosts send values beyond the 64 KiB of the platform's protocol.
+// Hosts send values larger than the 64 KiB that the platform's protocol allows.
 constexpr resp::ParseLimits reply_limits{.max_elements = 8,
                                          .max_bulk_bytes = 1024 * kibibyte,
                                          .max_message_bytes = 1028 * kibibyte,
--- a/src/upstream/resp/response_reader.h
+++ b/src/upstream/resp/response_reader.h
@@ -1,4 +1,4 @@
-// Collects the bytes of one reply at a time and parses them. No I/O.
+// Buffers the bytes of one reply at a time and parses them. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,16 +11,17 @@
 
 class ResponseReader {
   public:
-    // `total_buffered`: bytes that all readers of an Upstream keep; outlives the reader.
+    // `total_buffered` is the number of bytes that all readers of an Upstream buffer. It must
+    // outlive the reader.
     explicit ResponseReader(std::size_t& total_buffered);
 
     resp::ParseStatus append(std::string_view bytes);
     std::size_t buffered() const { return buffer_.size(); }
-    // Of a complete reply:
+    // The next three are valid only after append() has returned `complete`.
     bool has_trailing_bytes() const { return parser_.consumed() < buffer_.size(); }
     bool is_error_line() const { return buffer_.front() == '-'; }
     resp::Reply take() { return parser_.take(); }
-    // Ready for the next reply, whatever came of this one.
+    // Discards the buffered bytes and prepares for the next reply.
     void reset();
 
   private:
--- a/src/upstream/resp/upstream.cpp
+++ b/src/upstream/resp/upstream.cpp
@@ -9,8 +9,8 @@
 namespace silverreach::upstream_resp {
 namespace {
 using namespace std::chrono_literals;
-// A handshake that outlasts its attempt goes on for the next one: without that, each slow handshake
-// would cost an attempt and another handshake.
+// A handshake that takes longer than its attempt continues and serves a later attempt. Otherwise
+// each slow handshake would cost an attempt and another handshake.
 constexpr Micros pending_timeout = 2s;
 constexpr std::size_t max_pending_per_host = 2;
 constexpr Micros sweep_interval = 500ms;
@@ -81,7 +81,7 @@
 }
 
 void Upstream::return_unsent_to_unlisted() {
-    // Ending an attempt may change the pool.
+    // Collected first, because ending an attempt may change the pool.
     std::vector<core::AttemptKey> unsent;
     pool_.for_each_in_use([&](upstream::PooledConnection& connection) {
         if (connection.host().listed || connection.is_health_check()) return;
--- a/src/upstream/resp/upstream.h
+++ b/src/upstream/resp/upstream.h
@@ -1,9 +1,9 @@
-// Sends attempts and health checks to the platform's RESP hosts, each on a connection of its own
-// from the pool. Which host, when and how often is decided by the core.
+// Sends attempts and health checks to the platform's RESP hosts, each on a separate connection from
+// the pool. The core decides to which host an attempt is sent, when, and how often.
 //
-// A response counts only once it is complete and well-formed. One that is malformed, or begun and
-// then stalled, is a failed attempt that may have run, and its connection is closed. A connection
-// that sends more than its response is not used again.
+// A response counts only once it is complete and well-formed. A response that is malformed, or that
+// stalls before it is complete, ends the attempt as failed although the request may have run, and
+// its connection is closed. A connection on which bytes follow the response is not reused.
 #pragma once
 
 #include <memory>
@@ -24,22 +24,24 @@
 
     Upstream(event::Loop& loop, UpstreamLimits limits, AttemptCallbacks& callbacks);
 
-    // `host`: the uid in discovery. The attempt may end within the call.
+    // `host` is the host's uid in discovery. The attempt may end within the call.
     void send(const core::AttemptKey& key, const std::string& host,
               std::shared_ptr<const platform::UpstreamCommand> command);
-    // Ends the attempt; no callback follows. Its connection is closed unless it is not up yet.
+    // Ends the attempt; no callback follows. Closes the connection if it is established.
     void cancel(const core::AttemptKey& key);
-    // Cancels an attempt whose command has not been sent completely. False where it has, or where
-    // the attempt is not known.
+    // Cancels an attempt whose command has not been sent completely. Returns false if it has been
+    // sent or the attempt is not known.
     bool withdraw(const core::AttemptKey& key);
     void start_health_check(const std::string& host);
-    // Closes an unused connection; false where there is none.
+    // Closes an unused connection; returns false if there is none.
     bool evict_unused() { return pool_.evict_unused(); }
-    // Where hosts listen. A connection belongs to the uid and the address at which it was opened;
-    // unused ones to hosts that are not ready, or have moved, are closed.
+    // Updates the hosts and their addresses. A connection belongs to the uid and the address to
+    // which it was opened. Closes unused connections to hosts that are not available or have a new
+    // address.
     void update_hosts(const platform::TargetList& list);
-    // Ends attempts as `not_started` that have not been sent to hosts that are not ready any more.
-    // Called once the core knows of the change too, so that it does not choose the same host again.
+    // Ends attempts as `not_started` whose commands have not been sent completely and whose hosts
+    // are no longer available. Called after the core has received the change, so that it does not
+    // choose the same host again.
     void return_unsent_to_unlisted();
 
     Stats stats() const { return {pool_.stats(), counters_}; }
--- a/src/upstream/resp/upstream_connection.cpp
+++ b/src/upstream/resp/upstream_connection.cpp
@@ -8,12 +8,13 @@
 namespace silverreach::upstream_resp {
 namespace {
 using namespace std::chrono_literals;
-// For the rest of an incomplete reply. A host writes a reply at once, and a lost packet costs some
-// 200 ms.
+// Longest pause within an incomplete reply. A host writes a reply in one piece, and a lost packet
+// delays it by about 200 ms.
 constexpr Micros stall_timeout = 250ms;
-// For a command's bytes to leave this process; later the deadline in it would be wrong.
+// Longest time until all bytes of a command have been sent. After it the deadline in the command
+// would be wrong.
 constexpr Micros send_timeout = 100ms;
-// A reply up to this size is read whatever the other connections buffer.
+// A reply up to this size is read regardless of the bytes that other connections buffer.
 constexpr std::size_t always_buffered_bytes = std::size_t{64} * 1024;
 
 HostResponse response_of(Outcome outcome) {
@@ -60,7 +61,7 @@
 void UpstreamConnection::write_attempt() {
     const std::uint64_t exchange = exchange_id();
     const std::optional<Micros> time_left = context_.callbacks.begin_send(key());
-    if (!is_current(exchange)) return;  // withdrawn by the callback
+    if (!is_current(exchange)) return;  // the callback withdrew the attempt
     if (!time_left) return return_unsent();
     mark_request_written();
     stream().write(command_->serialize(*time_left));
@@ -91,7 +92,8 @@
 void UpstreamConnection::on_complete_reply() {
     const bool trailing = reader_.has_trailing_bytes();
     if (trailing) ++context_.counters.trailing_bytes;
-    // After an early reply the rest of the command would be read as the next one.
+    // If the reply came before the whole command was sent, the host would read the rest of the
+    // command as the next one.
     const bool reusable = !trailing && request_sent();
     const bool error_line = reader_.is_error_line();
     if (is_health_check()) return finish(parse_health_check(reader_.take()), reusable);
@@ -144,7 +146,7 @@
     finish(response_of(Outcome::not_started), !request_written());
 }
 
-// Before the last byte has been sent the command cannot have run.
+// The command cannot have run before its last byte has been sent.
 void UpstreamConnection::fail_lost() {
     finish(response_of(request_sent() ? Outcome::reset : Outcome::connect_failed), false);
 }
--- a/src/upstream/resp/upstream_connection.h
+++ b/src/upstream/resp/upstream_connection.h
@@ -1,9 +1,9 @@
-// One RESP connection to a host: writes the command of an attempt or health check and reads its
-// reply. States are those of upstream::PooledConnection without `receiving_body`: a reply counts
-// only once it is complete and well-formed.
+// One RESP connection to a host: writes the command of an attempt or health check and reads the
+// reply. The states are those of upstream::PooledConnection without `receiving_body`, because a
+// reply counts only once it is complete and well-formed.
 //
-// An attempt that ends during the handshake leaves its connection to the pool, which keeps it
-// pending for the next one.
+// When an attempt ends during the handshake, its connection returns to the pool, which keeps it as
+// pending for a later exchange.
 #pragma once
 
 #include <memory>
@@ -20,14 +20,14 @@
 class UpstreamConnection;
 using AttemptTable = upstream::AttemptTable<UpstreamConnection>;
 
-// Replies that ended their connection.
+// Numbers of replies after which the connection was closed.
 struct ResponseCounters {
-    std::uint64_t malformed = 0;       // not the protocol's form, or too large
-    std::uint64_t trailing_bytes = 0;  // complete, with bytes behind
-    std::uint64_t stalled = 0;         // begun and not continued
+    std::uint64_t malformed = 0;       // not well-formed, or too large
+    std::uint64_t trailing_bytes = 0;  // complete, but followed by more bytes
+    std::uint64_t stalled = 0;         // begun but not completed in time
 };
 
-// What all connections of an Upstream share; outlives them.
+// Shared by all connections of an Upstream; outlives them.
 struct ConnectionContext {
     event::Loop& loop;
     const UpstreamLimits& limits;
@@ -42,7 +42,7 @@
   public:
     UpstreamConnection(ConnectionContext& context, upstream::HostConnections& host, event::Fd fd);
 
-    // Both send now, or once the connection is up.
+    // Both send now, or once the connection is established.
     void begin_attempt(const core::AttemptKey& key,
                        std::shared_ptr<const platform::UpstreamCommand> command);
     void begin_health_check(std::string command);
--- a/src/upstream/resp/upstream_limits.h
+++ b/src/upstream/resp/upstream_limits.h
@@ -12,10 +12,11 @@
     Micros connect_timeout{250'000};
     Micros idle_timeout{12'000'000};
     Micros health_check_timeout{250'000};
-    // Idle time after which a request that must not be repeated gets a new connection.
+    // Idle time of a connection after which a non-idempotent request gets a new one.
     Micros non_idempotent_reuse_limit{1'000'000};
     bool request_load_report = true;  // in health checks
-    // Bytes of incomplete responses over all connections; beyond it large ones are dropped.
+    // Bytes of incomplete responses on all connections; beyond this, responses above a minimum size
+    // are dropped as malformed.
     std::size_t max_buffered_bytes = std::size_t{8} * 1024 * 1024;
 };
 
