--- a/src/upstream/common/connection_pool.cpp
+++ b/src/upstream/common/connection_pool.cpp
@@ -13,17 +13,17 @@
 }
 
 std::unique_ptr<PooledConnection> extract_unordered(HostConnections::List& list,
-                                                    HostConnections::List::iterator at) {
-    auto connection = std::move(*at);
-    *at = std::move(list.back());
+                                                    HostConnections::List::iterator position) {
+    auto connection = std::move(*position);
+    *position = std::move(list.back());
     list.pop_back();
     return connection;
 }
 
 std::unique_ptr<PooledConnection> extract_ordered(HostConnections::List& list,
-                                                  HostConnections::List::iterator at) {
-    auto connection = std::move(*at);
-    list.erase(at);
+                                                  HostConnections::List::iterator position) {
+    auto connection = std::move(*position);
+    list.erase(position);
     return connection;
 }
 }  // namespace
@@ -70,7 +70,7 @@
     }
     for (auto& [name, host] : hosts_)
         close_unused(*host, [&host = *host](const PooledConnection& connection) {
-            return !host.listed || !connection.opened_to(host.address);
+            return !host.listed || !connection.was_opened_to(host.address);
         });
 }
 
@@ -95,27 +95,28 @@
         if (!idempotent && idle_time >= policy_.non_idempotent_reuse_limit) return nullptr;
         auto connection = std::move(host.idle.back());
         host.idle.pop_back();
-        if (policy_.verify_before_reuse && !usable(*connection, host)) {
-            ++counts_.stale;
+        if (policy_.verify_before_reuse && !is_usable(*connection, host)) {
+            ++cumulative_stats_.stale;
             retire(std::move(connection));
             continue;
         }
-        ++counts_.reused;
+        ++cumulative_stats_.reused;
         host.in_use.push_back(std::move(connection));
         return host.in_use.back().get();
     }
     return nullptr;
 }
 
-bool ConnectionPool::usable(const PooledConnection& connection, const HostConnections& host) const {
+bool ConnectionPool::is_usable(const PooledConnection& connection,
+                               const HostConnections& host) const {
     return loop_.now() - connection.unused_since() < policy_.idle_timeout &&
-           connection.opened_to(host.address) && !connection.stream().unread();
+           connection.was_opened_to(host.address) && !connection.stream().unread();
 }
 
 std::variant<PooledConnection*, AcquireError> ConnectionPool::open_connection(
     HostConnections& host) {
-    if (open_ >= policy_.max_connections && !evict_unused()) {
-        ++counts_.full;
+    if (open_count_ >= policy_.max_connections && !evict_unused()) {
+        ++cumulative_stats_.full;
         return AcquireError::pool_limit_reached;
     }
     int error = 0;
@@ -123,8 +124,8 @@
     if (!fd)
         return event::is_local_shortage(error) ? AcquireError::local_shortage
                                                : AcquireError::connect_refused;
-    ++counts_.opened;
-    ++open_;
+    ++cumulative_stats_.opened;
+    ++open_count_;
     host.in_use.push_back(factory_(host, std::move(fd)));
     return host.in_use.back().get();
 }
@@ -139,12 +140,12 @@
 
 void ConnectionPool::release(PooledConnection& connection, bool reusable) {
     HostConnections& host = connection.host();
-    const auto at = find_in(host.in_use, connection);
-    if (at == host.in_use.end()) return;
-    auto owned = extract_unordered(host.in_use, at);
+    const auto position = find_in(host.in_use, connection);
+    if (position == host.in_use.end()) return;
+    auto owned = extract_unordered(host.in_use, position);
     connection.set_unused_since(loop_.now());
-    if (reusable && host.listed && connection.opened_to(host.address)) {
-        if (connection.connected()) return host.idle.push_back(std::move(owned));
+    if (reusable && host.listed && connection.was_opened_to(host.address)) {
+        if (connection.is_connected()) return host.idle.push_back(std::move(owned));
         if (host.pending.size() < policy_.max_pending_per_host)
             return host.pending.push_back(std::move(owned));
     }
@@ -155,21 +156,22 @@
 
 void ConnectionPool::on_pending_connected(PooledConnection& connection) {
     HostConnections& host = connection.host();
-    const auto at = find_in(host.pending, connection);
-    if (at == host.pending.end()) return;
-    host.idle.push_back(extract_ordered(host.pending, at));
+    const auto position = find_in(host.pending, connection);
+    if (position == host.pending.end()) return;
+    host.idle.push_back(extract_ordered(host.pending, position));
     connection.set_unused_since(loop_.now());
 }
 
 void ConnectionPool::drop_unused(PooledConnection& connection, DropReason reason) {
-    ++(reason == DropReason::unsolicited_bytes ? counts_.unsolicited : counts_.stale);
+    ++(reason == DropReason::unsolicited_bytes ? cumulative_stats_.unsolicited
+                                               : cumulative_stats_.stale);
     remove_unused(connection);
 }
 
 void ConnectionPool::remove_unused(PooledConnection& connection) {
     for (auto* list : {&connection.host().idle, &connection.host().pending})
-        if (const auto at = find_in(*list, connection); at != list->end())
-            return retire(extract_ordered(*list, at));
+        if (const auto position = find_in(*list, connection); position != list->end())
+            return retire(extract_ordered(*list, position));
 }
 
 bool ConnectionPool::evict_unused() {
@@ -201,7 +203,7 @@
 // A retired connection may be executing a callback, so its destruction is deferred.
 void ConnectionPool::retire(std::unique_ptr<PooledConnection> connection) {
     connection->retire();
-    --open_;
+    --open_count_;
     retired_.schedule(std::move(connection));
 }
 
@@ -210,7 +212,7 @@
     for (auto& [name, host] : hosts_)
         close_unused(*host, [&](const PooledConnection& connection) {
             const Micros timeout =
-                connection.connected() ? policy_.idle_timeout : policy_.pending_timeout;
+                connection.is_connected() ? policy_.idle_timeout : policy_.pending_timeout;
             return loop_.now() - connection.unused_since() >= timeout;
         });
     std::erase_if(hosts_,
@@ -221,8 +223,8 @@
 }
 
 ConnectionPool::Stats ConnectionPool::stats() const {
-    Stats stats = counts_;
-    stats.open = open_;
+    Stats stats = cumulative_stats_;
+    stats.open = open_count_;
     stats.hosts = hosts_.size();
     for (const auto& [name, host] : hosts_)
         stats.idle += host->idle.size();
--- a/src/upstream/common/connection_pool.h
+++ b/src/upstream/common/connection_pool.h
@@ -63,7 +63,7 @@
         std::size_t hosts = 0;     // current hosts
         std::uint64_t opened = 0;  // connections opened
         std::uint64_t reused = 0;  // exchanges that reused an idle connection
-        std::uint64_t stale = 0;   // unused connections closed by the host, or not usable on reuse
+        std::uint64_t stale = 0;   // unused connections closed by the host, or unusable on reuse
         std::uint64_t unsolicited = 0;  // unused connections that received bytes
         std::uint64_t full = 0;         // calls of acquire that failed with pool_limit_reached
     };
@@ -105,7 +105,7 @@
   private:
     HostConnections* find_host(const std::string& host) const;
     PooledConnection* take_idle(HostConnections& host, bool idempotent);
-    bool usable(const PooledConnection& connection, const HostConnections& host) const;
+    bool is_usable(const PooledConnection& connection, const HostConnections& host) const;
     std::variant<PooledConnection*, AcquireError> open_connection(HostConnections& host);
     event::Fd connect(const config::Endpoint& address, int& error);
     void remove_unused(PooledConnection& connection);
@@ -119,8 +119,8 @@
     Factory factory_;
     std::unordered_map<std::string, std::unique_ptr<HostConnections>> hosts_;
     event::DeferredDeletion<PooledConnection> retired_;
-    std::size_t open_ = 0;
-    Stats counts_;  // only the cumulative counts
+    std::size_t open_count_ = 0;
+    Stats cumulative_stats_;  // only the cumulative counts
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/upstream/common/pooled_connection.cpp
+++ b/src/upstream/common/pooled_connection.cpp
@@ -20,7 +20,7 @@
     return state_ == State::connecting || state_ == State::starting || request_written();
 }
 
-bool PooledConnection::connected() const {
+bool PooledConnection::is_connected() const {
     return state_ == State::idle || state_ == State::starting || request_written();
 }
 
@@ -28,12 +28,12 @@
     key_ = key;
     exchange_started_ = loop_.now();
     ++exchange_id_;
-    state_ = connected() ? State::starting : State::connecting;
+    state_ = is_connected() ? State::starting : State::connecting;
 }
 
 void PooledConnection::end_exchange() {
     ++exchange_id_;
-    state_ = connected() ? State::idle : State::pending;
+    state_ = is_connected() ? State::idle : State::pending;
 }
 
 void PooledConnection::retire() {
@@ -62,7 +62,7 @@
 }
 
 void PooledConnection::on_broken(int error) {
-    if (has_exchange()) return on_exchange_broken(error);
+    if (has_exchange()) return on_exchange_error(error);
     pool_.drop_unused(*this, DropReason::closed_by_host);
 }
 
--- a/src/upstream/common/pooled_connection.h
+++ b/src/upstream/common/pooled_connection.h
@@ -46,12 +46,12 @@
 
     State state() const { return state_; }
     bool has_exchange() const;
-    bool connected() const;
+    bool is_connected() const;
     bool is_health_check() const { return key_ == health_check_key; }
     // Whether all bytes of the request have been passed to the system. Before that the request
     // cannot have run.
     bool request_sent() const { return request_written() && stream_.queued() == 0; }
-    bool opened_to(const std::optional<config::Endpoint>& address) const {
+    bool was_opened_to(const std::optional<config::Endpoint>& address) const {
         return address == address_;
     }
     const core::AttemptKey& key() const { return key_; }
@@ -72,8 +72,8 @@
     // Called when the handshake completes while an exchange waits: the request can be written.
     virtual void on_ready() = 0;
     virtual void on_response_bytes(std::string_view bytes) = 0;
-    virtual void on_remote_close() = 0;              // the host closed its half
-    virtual void on_exchange_broken(int error) = 0;  // `error` is an errno; the stream is closed
+    virtual void on_remote_close() = 0;             // the host closed its half
+    virtual void on_exchange_error(int error) = 0;  // `error` is an errno; the stream is closed
 
     // State changes of the exchange.
     void begin_exchange(const core::AttemptKey& key);
@@ -88,7 +88,7 @@
     // Changes at each start and end of an exchange. Code that runs callbacks compares it to detect
     // that the exchange has ended meanwhile.
     std::uint64_t exchange_id() const { return exchange_id_; }
-    bool is_current(std::uint64_t exchange_id) const {
+    bool is_current_exchange(std::uint64_t exchange_id) const {
         return exchange_id_ == exchange_id && has_exchange();
     }
     // Calls `callback` once, `delay` from now, unless the current exchange has ended by then.
@@ -96,7 +96,7 @@
     void after_in_exchange(Micros delay, Callback callback) {
         loop_.after(delay, [this, callback = std::move(callback), exchange_id = exchange_id_,
                             alive = std::weak_ptr<bool>(alive_)] {
-            if (!alive.expired() && is_current(exchange_id)) callback();
+            if (!alive.expired() && is_current_exchange(exchange_id)) callback();
         });
     }
     Micros now() const { return loop_.now(); }
--- a/src/upstream/http/health_check.cpp
+++ b/src/upstream/http/health_check.cpp
@@ -4,7 +4,7 @@
 
 namespace silverreach::upstream_http {
 namespace {
-constexpr int first_error_status = 400;
+constexpr int min_unhealthy_status = 400;
 }  // namespace
 
 std::shared_ptr<const OutRequest> health_check_request(const std::string& path,
@@ -16,7 +16,7 @@
 
 Outcome health_check_outcome(const http::Head& head, const config::HostAnswers& rules) {
     const bool healthy =
-        outcome_of(head, rules) == Outcome::success && head.status < first_error_status;
+        outcome_of(head, rules) == Outcome::success && head.status < min_unhealthy_status;
     return healthy ? Outcome::success : Outcome::error;
 }
 
--- a/src/upstream/http/response_outcome.cpp
+++ b/src/upstream/http/response_outcome.cpp
@@ -3,9 +3,10 @@
 namespace silverreach::upstream_http {
 
 Outcome outcome_of(const http::Head& head, const config::HostAnswers& rules) {
-    for (const auto& full : rules.full()) {
-        const bool has_field = !full.has_header() || http::find(head.fields, full.header());
-        if (full.status() == head.status && has_field) return Outcome::rejected;
+    for (const auto& rejection : rules.full()) {
+        const bool has_field =
+            !rejection.has_header() || http::find(head.fields, rejection.header());
+        if (rejection.status() == head.status && has_field) return Outcome::rejected;
     }
     return head.status >= 500 ? Outcome::error : Outcome::success;
 }
--- a/src/upstream/http/upstream_connection.cpp
+++ b/src/upstream/http/upstream_connection.cpp
@@ -30,18 +30,18 @@
     if (state() == State::starting)
         write_request();
     else
-        limit_connect_time();
-    if (is_health_check()) limit_health_check_time();
+        start_connect_timer();
+    if (is_health_check()) start_health_check_timer();
 }
 
-void UpstreamConnection::limit_connect_time() {
+void UpstreamConnection::start_connect_timer() {
     const auto limit = std::chrono::milliseconds(context_.config.hosts().connect_ms());
     after_in_exchange(limit, [this] {
-        if (!connected()) fail(Outcome::connect_failed);
+        if (!is_connected()) fail(Outcome::connect_failed);
     });
 }
 
-void UpstreamConnection::limit_health_check_time() {
+void UpstreamConnection::start_health_check_timer() {
     const auto limit = std::chrono::milliseconds(context_.config.hosts().probe_ms());
     after_in_exchange(limit, [this] { fail(Outcome::timeout); });
 }
@@ -49,10 +49,10 @@
 void UpstreamConnection::write_request() {
     const std::uint64_t exchange = exchange_id();
     if (!is_health_check() && !context_.callbacks.begin_send(key())) {
-        if (is_current(exchange)) fail(Outcome::not_started);
+        if (is_current_exchange(exchange)) fail(Outcome::not_started);
         return;
     }
-    if (!is_current(exchange)) return;  // the callback cancelled the attempt
+    if (!is_current_exchange(exchange)) return;  // the callback cancelled the attempt
     mark_request_written();
     const std::string head_end =
         is_health_check() ? "\r\n" : fmt::format("Silverreach-Attempt: {}\r\n\r\n", key().attempt);
@@ -64,23 +64,23 @@
 void UpstreamConnection::on_response_bytes(std::string_view bytes) {
     const std::uint64_t exchange = exchange_id();
     const std::size_t consumed = parser_.feed(bytes);
-    if (is_current(exchange) && parser_.done()) complete_response(consumed < bytes.size());
+    if (is_current_exchange(exchange) && parser_.done()) complete_response(consumed < bytes.size());
 }
 
 void UpstreamConnection::on_remote_close() {
     const std::uint64_t exchange = exchange_id();
     close_after_response_ = true;
     parser_.finish();
-    if (!is_current(exchange)) return;
+    if (!is_current_exchange(exchange)) return;
     if (parser_.done())
         complete_response(true);
     else
         fail(Outcome::reset);
 }
 
-void UpstreamConnection::on_exchange_broken(int error) {
+void UpstreamConnection::on_exchange_error(int error) {
     // Bytes of the request are sent only on an established connection.
-    if (connected()) return fail(Outcome::reset);
+    if (is_connected()) return fail(Outcome::reset);
     fail(event::is_local_shortage(error) ? Outcome::not_started : Outcome::connect_failed);
 }
 
@@ -91,13 +91,13 @@
     if (!head.keep_alive) close_after_response_ = true;
     const config::HostAnswers& rules = context_.config.host_answers();
     mark_response_started();
-    if (!is_health_check()) return deliver_head(outcome_of(head, rules), report, head);
+    if (!is_health_check()) return report_head(outcome_of(head, rules), report, head);
     context_.callbacks.on_health_check_ended(
         {host().host, health_check_outcome(head, rules), elapsed(), report});
     return has_exchange();
 }
 
-bool UpstreamConnection::deliver_head(Outcome outcome, const LoadReport& report, http::Head& head) {
+bool UpstreamConnection::report_head(Outcome outcome, const LoadReport& report, http::Head& head) {
     if (outcome != Outcome::success) {
         context_.callbacks.on_attempt_ended(key(), host().host, outcome, elapsed(), report,
                                             head.status);
@@ -106,7 +106,7 @@
     const std::uint64_t exchange = exchange_id();
     deliver_body_ =
         context_.callbacks.on_response_started(key(), host().host, elapsed(), report, head);
-    return is_current(exchange);
+    return is_current_exchange(exchange);
 }
 
 void UpstreamConnection::on_body(std::string_view bytes) {
@@ -123,31 +123,31 @@
 
 // ---- end of the exchange ----
 
-void UpstreamConnection::complete_response(bool more_bytes) {
-    const bool delivered = std::exchange(deliver_body_, false);
+void UpstreamConnection::complete_response(bool has_trailing_bytes) {
+    const bool was_delivered = std::exchange(deliver_body_, false);
     // If the response came before the whole request was sent, the host would read the rest of the
     // request as the next one.
     const bool reusable =
-        !close_after_response_ && !more_bytes && request_sent() && !stream().closed();
-    const core::AttemptKey ended = key();
+        !close_after_response_ && !has_trailing_bytes && request_sent() && !stream().closed();
+    const core::AttemptKey ended_key = key();
     const http::Fields trailers = std::exchange(trailers_, {});
     stream().read(true);
     release(reusable);
-    if (delivered) context_.callbacks.on_response_ended(ended, true, trailers);
+    if (was_delivered) context_.callbacks.on_response_ended(ended_key, true, trailers);
 }
 
 void UpstreamConnection::fail(Outcome outcome) {
-    const core::AttemptKey ended = key();
+    const core::AttemptKey ended_key = key();
     const bool already_reported = state() == State::receiving_body;
-    const bool delivered = std::exchange(deliver_body_, false);
+    const bool was_delivered = std::exchange(deliver_body_, false);
     const Micros duration = elapsed();
     const std::string host_name = host().host;
     release(false);
-    if (delivered) return context_.callbacks.on_response_ended(ended, false, {});
+    if (was_delivered) return context_.callbacks.on_response_ended(ended_key, false, {});
     if (already_reported) return;
-    if (ended == upstream::health_check_key)
+    if (ended_key == upstream::health_check_key)
         return context_.callbacks.on_health_check_ended({host_name, outcome, duration, {}});
-    context_.callbacks.on_attempt_ended(ended, host_name, outcome, duration, {}, 0);
+    context_.callbacks.on_attempt_ended(ended_key, host_name, outcome, duration, {}, 0);
 }
 
 void UpstreamConnection::abandon() {
--- a/src/upstream/http/upstream_connection.h
+++ b/src/upstream/http/upstream_connection.h
@@ -37,19 +37,19 @@
     void on_ready() override { write_request(); }
     void on_response_bytes(std::string_view bytes) override;
     void on_remote_close() override;
-    void on_exchange_broken(int error) override;
+    void on_exchange_error(int error) override;
 
     bool on_head(http::Head& head) override;
     void on_body(std::string_view bytes) override;
     void on_message_end(http::Fields& trailers) override;
     void on_fault(const http::Fault& fault) override;
 
-    void limit_connect_time();
-    void limit_health_check_time();
+    void start_connect_timer();
+    void start_health_check_timer();
     void write_request();
-    bool deliver_head(Outcome outcome, const LoadReport& report, http::Head& head);
-    // `more_bytes`: the host sent bytes after the response or closed its half.
-    void complete_response(bool more_bytes);
+    bool report_head(Outcome outcome, const LoadReport& report, http::Head& head);
+    // `has_trailing_bytes`: the host sent bytes after the response or closed its half.
+    void complete_response(bool has_trailing_bytes);
     void fail(Outcome outcome);
     void release(bool reusable);
 
--- a/src/upstream/resp/health_check.cpp
+++ b/src/upstream/resp/health_check.cpp
@@ -17,7 +17,7 @@
     return command;
 }
 
-HostResponse parse_health_check(const resp::Reply& reply) {
+HostResponse parse_health_check_reply(const resp::Reply& reply) {
     HostResponse response;
     const bool healthy = reply.type == resp::ReplyType::status ||
                          reply.type == resp::ReplyType::bulk_string ||
--- a/src/upstream/resp/health_check.h
+++ b/src/upstream/resp/health_check.h
@@ -13,6 +13,6 @@
 
 // Returns `success` for a status line, a bulk string or a null, otherwise `error`. A bulk string is
 // parsed as the load report.
-HostResponse parse_health_check(const resp::Reply& reply);
+HostResponse parse_health_check_reply(const resp::Reply& reply);
 
 }  // namespace silverreach::upstream_resp
--- a/src/upstream/resp/response_reader.cpp
+++ b/src/upstream/resp/response_reader.cpp
@@ -2,13 +2,13 @@
 
 namespace silverreach::upstream_resp {
 namespace {
-constexpr std::size_t kibibyte = 1024;
+constexpr std::size_t bytes_per_kib = 1024;
 // Hosts send values larger than the 64 KiB that the platform's protocol allows.
 constexpr resp::ParseLimits reply_limits{.max_elements = 8,
-                                         .max_bulk_bytes = 1024 * kibibyte,
-                                         .max_message_bytes = 1028 * kibibyte,
+                                         .max_bulk_bytes = 1024 * bytes_per_kib,
+                                         .max_message_bytes = 1028 * bytes_per_kib,
                                          .max_line_bytes = 256};
-constexpr std::size_t max_retained_capacity = 4 * kibibyte;  // of the buffer between replies
+constexpr std::size_t max_retained_capacity = 4 * bytes_per_kib;  // of the buffer between replies
 }  // namespace
 
 ResponseReader::ResponseReader(std::size_t& total_buffered)
--- a/src/upstream/resp/upstream.cpp
+++ b/src/upstream/resp/upstream.cpp
@@ -42,9 +42,9 @@
                     std::shared_ptr<const platform::UpstreamCommand> command) {
     const auto acquired = pool_.acquire(host, {.idempotent = command->is_idempotent});
     if (const auto* error = std::get_if<upstream::AcquireError>(&acquired)) {
-        HostResponse none;
-        none.outcome = upstream::outcome_of(*error);
-        return callbacks_.on_attempt_ended(key, host, 0us, std::move(none));
+        HostResponse response;
+        response.outcome = upstream::outcome_of(*error);
+        return callbacks_.on_attempt_ended(key, host, 0us, std::move(response));
     }
     auto& connection =
         static_cast<UpstreamConnection&>(*std::get<upstream::PooledConnection*>(acquired));
@@ -88,7 +88,7 @@
         if (!connection.request_sent()) unsent.push_back(connection.key());
     });
     for (const core::AttemptKey& key : unsent)
-        if (UpstreamConnection* connection = attempts_.find(key)) connection->return_unsent();
+        if (UpstreamConnection* connection = attempts_.find(key)) connection->end_unsent();
 }
 
 }  // namespace silverreach::upstream_resp
--- a/src/upstream/resp/upstream_connection.cpp
+++ b/src/upstream/resp/upstream_connection.cpp
@@ -15,9 +15,9 @@
 // would be wrong.
 constexpr Micros send_timeout = 100ms;
 // A reply up to this size is read regardless of the bytes that other connections buffer.
-constexpr std::size_t always_buffered_bytes = std::size_t{64} * 1024;
+constexpr std::size_t guaranteed_reply_bytes = std::size_t{64} * 1024;
 
-HostResponse response_of(Outcome outcome) {
+HostResponse make_response(Outcome outcome) {
     HostResponse response;
     response.outcome = outcome;
     return response;
@@ -45,11 +45,11 @@
 
 void UpstreamConnection::begin(const core::AttemptKey& key) {
     begin_exchange(key);
-    if (is_health_check()) limit_health_check_time();
+    if (is_health_check()) start_health_check_timer();
     if (state() == State::starting)
         write_request();
     else
-        limit_connect_time();
+        start_connect_timer();
 }
 
 void UpstreamConnection::write_request() {
@@ -61,17 +61,17 @@
 void UpstreamConnection::write_attempt() {
     const std::uint64_t exchange = exchange_id();
     const std::optional<Micros> time_left = context_.callbacks.begin_send(key());
-    if (!is_current(exchange)) return;  // the callback withdrew the attempt
-    if (!time_left) return return_unsent();
+    if (!is_current_exchange(exchange)) return;  // the callback withdrew the attempt
+    if (!time_left) return end_unsent();
     mark_request_written();
     stream().write(command_->serialize(*time_left));
-    if (stream().queued() > 0) limit_send_time();
+    if (stream().queued() > 0) start_send_timer();
 }
 
 // ---- response ----
 
 void UpstreamConnection::on_response_bytes(std::string_view bytes) {
-    last_bytes_ = now();
+    last_bytes_at_ = now();
     switch (reader_.append(bytes)) {
         case resp::ParseStatus::incomplete:
             return on_incomplete_reply(reader_.buffered() == bytes.size());
@@ -84,87 +84,88 @@
 
 void UpstreamConnection::on_incomplete_reply(bool first_bytes) {
     if (context_.buffered_bytes > context_.limits.max_buffered_bytes &&
-        reader_.buffered() > always_buffered_bytes)
+        reader_.buffered() > guaranteed_reply_bytes)
         return fail_malformed();
-    if (first_bytes) watch_for_stall(stall_timeout);
+    if (first_bytes) start_stall_timer(stall_timeout);
 }
 
 void UpstreamConnection::on_complete_reply() {
-    const bool trailing = reader_.has_trailing_bytes();
-    if (trailing) ++context_.counters.trailing_bytes;
+    const bool has_trailing_bytes = reader_.has_trailing_bytes();
+    if (has_trailing_bytes) ++context_.counters.trailing_bytes;
     // If the reply came before the whole command was sent, the host would read the rest of the
     // command as the next one.
-    const bool reusable = !trailing && request_sent();
+    const bool reusable = !has_trailing_bytes && request_sent();
     const bool error_line = reader_.is_error_line();
-    if (is_health_check()) return finish(parse_health_check(reader_.take()), reusable);
+    if (is_health_check()) return finish(parse_health_check_reply(reader_.take()), reusable);
     HostResponse response = parse_response(reader_.take());
-    const bool malformed = response.outcome == Outcome::error && !error_line;
-    if (malformed) ++context_.counters.malformed;
-    finish(std::move(response), reusable && !malformed);
+    const bool is_malformed = response.outcome == Outcome::error && !error_line;
+    if (is_malformed) ++context_.counters.malformed;
+    finish(std::move(response), reusable && !is_malformed);
 }
 
-void UpstreamConnection::on_exchange_broken(int error) {
-    if (!connected() && event::is_local_shortage(error)) return return_unsent();
-    fail_lost();
+void UpstreamConnection::on_exchange_error(int error) {
+    if (!is_connected() && event::is_local_shortage(error)) return end_unsent();
+    fail_connection_lost();
 }
 
 // ---- time limits ----
 
-void UpstreamConnection::limit_connect_time() {
+void UpstreamConnection::start_connect_timer() {
     after_in_exchange(context_.limits.connect_timeout, [this] {
-        if (!connected()) finish(response_of(Outcome::connect_failed), true);
+        if (!is_connected()) finish(make_response(Outcome::connect_failed), true);
     });
 }
 
-void UpstreamConnection::limit_health_check_time() {
+void UpstreamConnection::start_health_check_timer() {
     after_in_exchange(context_.limits.health_check_timeout,
-                      [this] { finish(response_of(Outcome::timeout), !connected()); });
+                      [this] { finish(make_response(Outcome::timeout), !is_connected()); });
 }
 
-void UpstreamConnection::limit_send_time() {
+void UpstreamConnection::start_send_timer() {
     after_in_exchange(send_timeout, [this] {
-        if (!request_sent()) fail_lost();
+        if (!request_sent()) fail_connection_lost();
     });
 }
 
-void UpstreamConnection::watch_for_stall(Micros wait) {
+void UpstreamConnection::start_stall_timer(Micros wait) {
     after_in_exchange(wait, [this] {
-        const Micros silence = now() - last_bytes_;
-        if (silence < stall_timeout) return watch_for_stall(stall_timeout - silence);
+        const Micros time_since_bytes = now() - last_bytes_at_;
+        if (time_since_bytes < stall_timeout)
+            return start_stall_timer(stall_timeout - time_since_bytes);
         ++context_.counters.stalled;
-        finish(response_of(Outcome::error), false);
+        finish(make_response(Outcome::error), false);
     });
 }
 
 // ---- end of the exchange ----
 
 void UpstreamConnection::abandon() {
-    release(!connected());
+    release(!is_connected());
 }
 
-void UpstreamConnection::return_unsent() {
-    finish(response_of(Outcome::not_started), !request_written());
+void UpstreamConnection::end_unsent() {
+    finish(make_response(Outcome::not_started), !request_written());
 }
 
 // The command cannot have run before its last byte has been sent.
-void UpstreamConnection::fail_lost() {
-    finish(response_of(request_sent() ? Outcome::reset : Outcome::connect_failed), false);
+void UpstreamConnection::fail_connection_lost() {
+    finish(make_response(request_sent() ? Outcome::reset : Outcome::connect_failed), false);
 }
 
 void UpstreamConnection::fail_malformed() {
     ++context_.counters.malformed;
-    finish(response_of(Outcome::error), false);
+    finish(make_response(Outcome::error), false);
 }
 
 void UpstreamConnection::finish(HostResponse response, bool reusable) {
-    const core::AttemptKey ended = key();
+    const core::AttemptKey ended_key = key();
     const Micros duration = elapsed();
     const std::string host_name = host().host;
     release(reusable);
-    if (ended == upstream::health_check_key)
+    if (ended_key == upstream::health_check_key)
         return context_.callbacks.on_health_check_ended(
             {host_name, response.outcome, duration, response.report});
-    context_.callbacks.on_attempt_ended(ended, host_name, duration, std::move(response));
+    context_.callbacks.on_attempt_ended(ended_key, host_name, duration, std::move(response));
 }
 
 void UpstreamConnection::release(bool reusable) {
--- a/src/upstream/resp/upstream_connection.h
+++ b/src/upstream/resp/upstream_connection.h
@@ -49,13 +49,13 @@
     // Ends the exchange without a callback.
     void abandon();
     // Ends the attempt as `not_started`.
-    void return_unsent();
+    void end_unsent();
 
   private:
     void on_ready() override { write_request(); }
     void on_response_bytes(std::string_view bytes) override;
-    void on_remote_close() override { fail_lost(); }
-    void on_exchange_broken(int error) override;
+    void on_remote_close() override { fail_connection_lost(); }
+    void on_exchange_error(int error) override;
 
     void begin(const core::AttemptKey& key);
     void write_request();
@@ -63,12 +63,12 @@
     void on_incomplete_reply(bool first_bytes);
     void on_complete_reply();
 
-    void limit_connect_time();
-    void limit_health_check_time();
-    void limit_send_time();
-    void watch_for_stall(Micros wait);
+    void start_connect_timer();
+    void start_health_check_timer();
+    void start_send_timer();
+    void start_stall_timer(Micros wait);
 
-    void fail_lost();
+    void fail_connection_lost();
     void fail_malformed();
     void finish(HostResponse response, bool reusable);
     void release(bool reusable);
@@ -77,7 +77,7 @@
     ResponseReader reader_;
     std::shared_ptr<const platform::UpstreamCommand> command_;
     std::string health_check_command_;
-    Micros last_bytes_{0};  // loop time
+    Micros last_bytes_at_{0};  // loop time
 };
 
 }  // namespace silverreach::upstream_resp
--- a/tests/upstream/common/connection_pool_test.cpp
+++ b/tests/upstream/common/connection_pool_test.cpp
@@ -1,5 +1,5 @@
-// The pool that both protocols share, with connections of a protocol that writes nothing, over
-// loopback.
+// Tests the connection pool that both protocols share, over loopback, with a connection class that
+// writes no bytes.
 #include "upstream/common/connection_pool.h"
 
 #include <gtest/gtest.h>
@@ -24,10 +24,10 @@
     void on_ready() override { mark_request_written(); }
     void on_response_bytes(std::string_view) override { mark_response_started(); }
     void on_remote_close() override {}
-    void on_exchange_broken(int) override {}
+    void on_exchange_error(int) override {}
 };
 
-// A host that accepts and keeps connections.
+// A host that accepts connections and keeps them open.
 struct FakeHost {
     std::vector<event::Fd> accepted;
     event::Listener listener;
@@ -65,11 +65,11 @@
         const auto* connection = std::get_if<PooledConnection*>(&acquired);
         return connection ? static_cast<FakeConnection*>(*connection) : nullptr;
     }
-    // An exchange on a connection that is up.
+    // Starts an exchange and waits until its connection is established.
     FakeConnection* begin(const std::string& name) {
         FakeConnection* connection = acquire(name);
         connection->begin();
-        EXPECT_TRUE(run([&] { return connection->connected(); }));
+        EXPECT_TRUE(run([&] { return connection->is_connected(); }));
         return connection;
     }
     void end(FakeConnection* connection, bool reusable = true) const {
@@ -82,7 +82,7 @@
 };
 }  // namespace
 
-TEST_F(ConnectionPoolTest, StatesFollowAnExchange) {
+TEST_F(ConnectionPoolTest, StateFollowsTheExchange) {
     start();
     FakeConnection* connection = acquire("a");
     ASSERT_TRUE(connection);
@@ -111,12 +111,12 @@
     EXPECT_EQ(pool->stats().opened, 2u);
 }
 
-TEST_F(ConnectionPoolTest, HostLimitHoldsForRequestsAndNotForHealthChecks) {
+TEST_F(ConnectionPoolTest, HostLimitAppliesToRequestsButNotToHealthChecks) {
     policy.max_in_use_per_host = 1;
     start();
     ASSERT_TRUE(acquire("a"));
     EXPECT_EQ(error_of("a"), AcquireError::host_limit_reached);
-    EXPECT_TRUE(acquire("b")) << "a limit of each host";
+    EXPECT_TRUE(acquire("b")) << "the limit applies to each host separately";
     EXPECT_TRUE(acquire("a", {.idempotent = true, .health_check = true}));
 }
 
@@ -130,8 +130,8 @@
     end(newer);
     EXPECT_TRUE(acquire("c"));
     EXPECT_EQ(older->state(), State::closed);
-    EXPECT_EQ(acquire("b"), newer) << "it was not evicted";
-    EXPECT_EQ(error_of("a"), AcquireError::pool_limit_reached) << "all are in use";
+    EXPECT_EQ(acquire("b"), newer) << "the newer connection was not evicted";
+    EXPECT_EQ(error_of("a"), AcquireError::pool_limit_reached) << "all connections are in use";
     EXPECT_EQ(pool->stats().full, 1u);
     EXPECT_EQ(pool->stats().open, 2u);
 }
@@ -152,8 +152,8 @@
     EXPECT_EQ(pool->stats().open, 1u);
     EXPECT_EQ(pool->stats().hosts, 3u);
     end(in_use);
-    EXPECT_EQ(pool->stats().open, 0u) << "closed with its exchange";
-    EXPECT_TRUE(run([&] { return pool->stats().hosts == 1; })) << "the host is forgotten";
+    EXPECT_EQ(pool->stats().open, 0u) << "the connection closes at the end of its exchange";
+    EXPECT_TRUE(run([&] { return pool->stats().hosts == 1; })) << "the pool removes the host";
 }
 
 TEST_F(ConnectionPoolTest, IdleConnectionsAreClosedAtTheirTimeout) {
