--- a/bench/bare_relay.cpp
+++ b/bench/bare_relay.cpp
@@ -22,7 +22,7 @@
         if (!parser.done()) return;
         identity = front::identify_request(head, random);
         client = {head.minor, head.method == "HEAD", head.keep_alive, false, {}};
-        auto out = std::make_shared<upstream_http::OutRequest>();
+        auto out = std::make_shared<upstream_http::UpstreamRequest>();
         out->head = front::request_head_for_host(head, head.target, identity, "127.0.0.1", "relay",
                                                  body.size());
         out->body = std::move(body);
@@ -31,7 +31,7 @@
         relay.upstream_->send({id, 0}, relay.hosts_[id % relay.hosts_.size()], std::move(out));
     }
     void on_end() override { stream.close(); }
-    void on_broken(int) override {}
+    void on_error(int) override {}
     bool on_head(http::Head& h) override { return head = std::move(h), body.clear(), true; }
     void on_body(std::string_view b) override { body.append(b); }
     void on_message_end(http::Fields&) override {}
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -36,7 +36,7 @@
         }
     }
     void on_end() override { stream.close(); }
-    void on_broken(int) override {}
+    void on_error(int) override {}
 };
 
 FixedHost::FixedHost(event::Loop& loop, std::size_t body, Protocol protocol)
@@ -112,8 +112,8 @@
             else
                 g.free(*this);
         }
-        void on_end() override { on_broken(0); }
-        void on_broken(int) override {
+        void on_end() override { on_error(0); }
+        void on_error(int) override {
             stream.close();
             ++g.result.bad;
         }
--- a/fakes/client.cpp
+++ b/fakes/client.cpp
@@ -43,7 +43,7 @@
         end("answer", keep && !extra);
     }
     void on_end() override { busy ? end("broken", false) : end("", false); }
-    void on_broken(int) override { busy ? end("broken", false) : end("", false); }
+    void on_error(int) override { busy ? end("broken", false) : end("", false); }
     bool on_head(http::Head& h) override {
         head_seen = true, status = h.status, keep = h.keep_alive;
         if (const auto* ms = http::find(h.fields, "Retry-After-Ms"))
--- a/fakes/relay.cpp
+++ b/fakes/relay.cpp
@@ -38,7 +38,7 @@
             leg->port = ntohs(at.sin_port);
             leg->io = std::make_unique<event::IoWatcher>(
                 loop, leg->fd.get(), [this, from, to](int) { receive(from, to); });
-            leg->io->want(event::readable);
+            leg->io->set_interest(event::readable);
             legs_[static_cast<std::size_t>(from)].push_back(std::move(leg));
         }
 }
--- a/fakes/server.cpp
+++ b/fakes/server.cpp
@@ -21,7 +21,7 @@
         server.handler_(token, head, body);
     }
     void on_end() override { over(); }
-    void on_broken(int) override { over(); }
+    void on_error(int) override { over(); }
     bool on_head(http::Head& h) override {
         head = std::move(h), body.clear();
         return true;
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -113,7 +113,7 @@
 
 // A large description takes longer to read than answers may wait, so it is read on a thread.
 void Instance::reload(std::function<void(bool)> done) {
-    if (background_.busy()) {
+    if (background_.is_busy()) {
         reload_again_ = true;
         if (done) done(false);
         return;
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -110,7 +110,7 @@
     for (const platform::Target& t : list.targets)
         change.endpoints.push_back(t.entry);
     core_->on_endpoints_changed(now(), std::move(change));
-    upstream_->return_unsent_to_unlisted();
+    upstream_->end_unsent_to_unlisted();
 }
 
 void Node::reload(const platform::NodeConfig& fresh) {
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -35,7 +35,7 @@
             end(DiscoveryErrorCode::connection_lost, "the answer ended");
     }
     void on_end() override { end(DiscoveryErrorCode::connection_lost, "the connection ended"); }
-    void on_broken(int error) override {
+    void on_error(int error) override {
         end(DiscoveryErrorCode::connection_lost, std::strerror(error));
     }
     bool on_head(http::Head& head) override {
--- a/src/discovery/rest_discovery.cpp
+++ b/src/discovery/rest_discovery.cpp
@@ -84,7 +84,7 @@
     on_failure(DiscoveryErrorCode::connection_lost, "the connection ended");
 }
 
-void RestDiscovery::on_broken(int error) {
+void RestDiscovery::on_error(int error) {
     on_failure(DiscoveryErrorCode::connection_lost, std::strerror(error));
 }
 
--- a/src/discovery/rest_discovery.h
+++ b/src/discovery/rest_discovery.h
@@ -30,7 +30,7 @@
     // ---- event::StreamOwner ----
     void on_data(std::string_view bytes) override;
     void on_end() override;
-    void on_broken(int error) override;
+    void on_error(int error) override;
     // ---- http::Parser::Events ----
     bool on_head(http::Head& head) override;
     void on_body(std::string_view bytes) override;
--- a/src/event/arrival_log.h
+++ b/src/event/arrival_log.h
@@ -15,7 +15,7 @@
 class ArrivalLog {
   public:
     // Records that `bytes` more bytes arrived at `arrived_at`.
-    void add(std::size_t bytes, Micros arrived_at) {
+    void record(std::size_t bytes, Micros arrived_at) {
         received_ += bytes;
         if (!entries_.empty() && arrived_at - entries_.back().arrived_at < resolution)
             entries_.back().end = received_;
@@ -24,7 +24,7 @@
     }
     // Returns the arrival time of the `offset`-th unconsumed byte, counted from 1, or `fallback` if
     // there is no such byte.
-    Micros time_of(std::size_t offset, Micros fallback) const {
+    Micros arrival_time(std::size_t offset, Micros fallback) const {
         for (const Entry& entry : entries_)
             if (entry.end >= consumed_ + offset) return entry.arrived_at;
         return fallback;
--- a/src/event/background_task.h
+++ b/src/event/background_task.h
@@ -17,9 +17,9 @@
     ~BackgroundTask();  // waits for work in progress without calling its on_done
     BackgroundTask(const BackgroundTask&) = delete;
     BackgroundTask& operator=(const BackgroundTask&) = delete;
-    bool busy() const { return busy_; }
+    bool is_busy() const { return busy_; }
     // Calls `work` on a separate thread, then `on_done` on the loop's thread. `work` must not
-    // access data that the loop's thread uses. May only be called while busy() is false.
+    // access data that the loop's thread uses. May only be called while is_busy() is false.
     void run(std::function<void()> work, std::function<void()> on_done);
 
   private:
--- a/src/event/io_watcher.cpp
+++ b/src/event/io_watcher.cpp
@@ -36,11 +36,11 @@
 void IoWatcher::on_watch_failed() {
     const int interest = std::exchange(interest_, none);
     loop_.after(watch_retry_delay, [this, interest, alive = std::weak_ptr<bool>(alive_)] {
-        if (!alive.expired() && interest_ == none) want(interest);
+        if (!alive.expired() && interest_ == none) set_interest(interest);
     });
 }
 
-void IoWatcher::want(int interest) {
+void IoWatcher::set_interest(int interest) {
     if (interest == interest_) return;
     ev_io_stop(loop_.libev_loop(), &io_);
     interest_ = interest;
--- a/src/event/io_watcher.h
+++ b/src/event/io_watcher.h
@@ -26,7 +26,7 @@
     IoWatcher(const IoWatcher&) = delete;
     IoWatcher& operator=(const IoWatcher&) = delete;
     // Sets the conditions to watch for, a bit mask of Interest. Does nothing if it is unchanged.
-    void want(int interest);
+    void set_interest(int interest);
 
   private:
     void on_watch_failed();
--- a/src/event/listener.cpp
+++ b/src/event/listener.cpp
@@ -77,7 +77,7 @@
     watcher_ = std::make_unique<IoWatcher>(loop, fd_.get(), [this](int) {
         if (accept_batch() == AcceptResult::unavailable) pause();
     });
-    watcher_->want(readable);
+    watcher_->set_interest(readable);
 }
 Listener::~Listener() = default;
 
@@ -102,7 +102,7 @@
     if (!fd_ || stop_deadline_ != 0us) return;
     stop_deadline_ = loop_.now() + stop_timeout;
     block_new_connections(fd_.get());
-    watcher_->want(none);
+    watcher_->set_interest(none);
     accept_remaining();
 }
 
@@ -179,11 +179,11 @@
 }
 
 void Listener::pause() {
-    watcher_->want(none);
+    watcher_->set_interest(none);
     loop_.after(retry_period, [this, alive = std::weak_ptr<bool>(alive_)] {
         if (alive.expired() || !fd_ || stop_deadline_ != 0us) return;
         if (accept_batch() == AcceptResult::unavailable) return pause();
-        watcher_->want(readable);
+        watcher_->set_interest(readable);
     });
 }
 
--- a/src/event/listener.h
+++ b/src/event/listener.h
@@ -32,7 +32,7 @@
 
     // Sets the function that is called during a lasting shortage of descriptors. It closes an idle
     // connection, or returns false if there is none.
-    void on_shortage(std::function<bool()> close_idle) { close_idle_ = std::move(close_idle); }
+    void set_close_idle(std::function<bool()> close_idle) { close_idle_ = std::move(close_idle); }
     // Valid within on_accepted: the earliest time at which the connection and the first bytes of
     // its client may have arrived.
     Micros waiting_since() const { return waiting_since_; }
--- a/src/event/signal.cpp
+++ b/src/event/signal.cpp
@@ -45,7 +45,7 @@
         if (!fd_) return;  // without the descriptor, only its timers wake the loop
         wake_fd = fd_.get();
         watcher_ = std::make_unique<IoWatcher>(loop, fd_.get(), [this](int) { clear_wakeup(); });
-        watcher_->want(readable);
+        watcher_->set_interest(readable);
     }
     ~SignalDispatcher() {
         wake_fd = -1;
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -51,17 +51,17 @@
 void Stream::update_interest() {
     if (closed()) return;
     const bool wants_read = reading_ && !connecting_ && !end_reported_;
-    const bool wants_write = connecting_ || queued() > 0;
-    watcher_->want((wants_read ? readable : none) | (wants_write ? writable : none));
+    const bool wants_write = connecting_ || queued_bytes() > 0;
+    watcher_->set_interest((wants_read ? readable : none) | (wants_write ? writable : none));
 }
 
-void Stream::read(bool on) {
-    if (reading_ && !on && unwatched_since_ == 0us) unwatched_since_ = loop_.now();
+void Stream::set_reading(bool enabled) {
+    if (reading_ && !enabled && unwatched_since_ == 0us) unwatched_since_ = loop_.now();
     // If nothing has arrived while the socket was not watched, it counts as watched until now.
-    if (!reading_ && !closed() && unwatched_since_ != 0us && !unread())
+    if (!reading_ && !closed() && unwatched_since_ != 0us && !has_unread_input())
         unwatched_since_ = loop_.now();
-    if (!reading_ && on) watched_from_turn_ = loop_.turn() + 1;
-    reading_ = on;
+    if (!reading_ && enabled) watched_from_turn_ = loop_.turn() + 1;
+    reading_ = enabled;
     update_interest();
 }
 
@@ -71,7 +71,7 @@
 void Stream::write(std::initializer_list<std::string_view> pieces) {
     if (closed() || end_requested_) return;
     std::size_t done = 0;
-    if (!connecting_ && queued() == 0) {
+    if (!connecting_ && queued_bytes() == 0) {
         std::array<iovec, max_pieces> buffers{};
         msghdr message{};
         message.msg_iov = buffers.data();
@@ -79,7 +79,7 @@
             if (!piece.empty() && message.msg_iovlen < max_pieces)
                 buffers[message.msg_iovlen++] = {const_cast<char*>(piece.data()), piece.size()};
         const ssize_t count = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
-        // An error is found again in the next turn. Reporting it there avoids calling on_broken
+        // An error is found again in the next turn. Reporting it there avoids calling on_error
         // from within the owner's call of write().
         done = count > 0 ? static_cast<std::size_t>(count) : 0;
     }
@@ -136,12 +136,13 @@
 }
 
 void Stream::flush() {
-    if (queued() == 0) return;
-    const ssize_t count = ::send(fd_.get(), output_.data() + sent_bytes_, queued(), MSG_NOSIGNAL);
+    if (queued_bytes() == 0) return;
+    const ssize_t count =
+        ::send(fd_.get(), output_.data() + sent_bytes_, queued_bytes(), MSG_NOSIGNAL);
     if (count < 0 && is_transient(errno)) return;
     if (count < 0) return fail(errno);
     sent_bytes_ += static_cast<std::size_t>(count);
-    if (queued() > 0) {
+    if (queued_bytes() > 0) {
         if (sent_bytes_ > max_read_bytes) output_.erase(0, std::exchange(sent_bytes_, 0));
         return;
     }
@@ -154,10 +155,10 @@
 
 void Stream::fail(int error) {
     close();
-    owner_.on_broken(error);
+    owner_.on_error(error);
 }
 
-bool Stream::unread() const {
+bool Stream::has_unread_input() const {
     if (closed()) return false;
     return peek(fd_.get()) >= 0 || !is_transient(errno);
 }
@@ -173,7 +174,7 @@
 }
 
 void Stream::close() {
-    if (watcher_) watcher_->want(none);
+    if (watcher_) watcher_->set_interest(none);
     fd_.reset();
 }
 void Stream::reset() {
@@ -184,7 +185,7 @@
 }
 void Stream::end() {
     if (closed() || std::exchange(end_requested_, true)) return;
-    if (queued() == 0) ::shutdown(fd_.get(), SHUT_WR);
+    if (queued_bytes() == 0) ::shutdown(fd_.get(), SHUT_WR);
 }
 
 bool is_local_shortage(int error) {
--- a/src/event/stream.h
+++ b/src/event/stream.h
@@ -20,9 +20,9 @@
     virtual ~StreamOwner() = default;
     virtual void on_connected() {}
     virtual void on_data(std::string_view bytes) = 0;
-    virtual void on_end() = 0;              // the peer closed its half of the connection
-    virtual void on_broken(int error) = 0;  // `error` is an errno; the stream is closed
-    virtual void on_drained() {}            // all queued bytes have been sent
+    virtual void on_end() = 0;             // the peer closed its half of the connection
+    virtual void on_error(int error) = 0;  // `error` is an errno; the stream is closed
+    virtual void on_drained() {}           // all queued bytes have been sent
 };
 
 // States: connecting (outgoing connections only), open, ended (no further writes), closed. Used on
@@ -35,22 +35,22 @@
     Stream(Loop& loop, Fd fd, StreamOwner& owner, Micros waiting_since);
 
     // Sends what the system accepts immediately and queues the rest. The queue is not limited: the
-    // owner checks queued(). Does nothing after end(), close() or reset().
+    // owner checks queued_bytes(). Does nothing after end(), close() or reset().
     void write(std::string_view bytes);
     // As above for several pieces, which are passed to one system call; at most four.
     void write(std::initializer_list<std::string_view> pieces);
-    std::size_t queued() const { return output_.size() - sent_bytes_; }  // bytes
-    // Back pressure: while `on` is false, nothing is read from the socket.
-    void read(bool on);
+    std::size_t queued_bytes() const { return output_.size() - sent_bytes_; }  // bytes
+    // Back pressure: while `enabled` is false, nothing is read from the socket.
+    void set_reading(bool enabled);
     // Valid in on_data: the earliest time at which its bytes may have arrived, on the loop's clock.
-    Micros arrived() const { return arrived_at_; }
+    Micros arrived_at() const { return arrived_at_; }
     void close();  // closes the socket immediately and discards queued bytes
     void reset();  // like close(), but the peer receives a TCP reset
     void end();    // closes the sending half once the queued bytes have been sent
     bool closed() const { return !fd_; }
     // Whether unread bytes, the peer's end or an error wait in the socket. The end counts even
     // after on_end() has reported it.
-    bool unread() const;
+    bool has_unread_input() const;
     // Whether the peer has closed its half or the connection has failed. Includes an end that is
     // not yet reported or follows unread bytes.
     bool peer_closed() const;
--- a/src/frontend/common/client_connection.cpp
+++ b/src/frontend/common/client_connection.cpp
@@ -37,7 +37,7 @@
 void ClientConnection::start_lingering_close() {
     lingering_ = true;
     stream_.end();
-    stream_.read(true);
+    stream_.set_reading(true);
     manager_.on_lingering(*this);
 }
 
--- a/src/frontend/common/connection_manager.h
+++ b/src/frontend/common/connection_manager.h
@@ -63,9 +63,9 @@
 
     // Accepts what the system has accepted already, then no more. `deadline`: of DrainManager.
     void start_draining(Micros deadline);
-    // Called while descriptors are short; see Listener::on_shortage.
+    // Called while descriptors are short; see Listener::set_close_idle.
     void on_shortage(std::function<bool()> close_idle) {
-        listener_->on_shortage(std::move(close_idle));
+        listener_->set_close_idle(std::move(close_idle));
     }
     // Evicts a connection at rest to free its descriptor; false where there is none. True without
     // another eviction while one is lingering, as that is about to close.
--- a/src/frontend/http/client_request.cpp
+++ b/src/frontend/http/client_request.cpp
@@ -48,9 +48,9 @@
     return {413, "Body too large", fmt::format("{} bytes at most", max_body_bytes(context))};
 }
 
-std::shared_ptr<const upstream_http::OutRequest> make_upstream_request(
+std::shared_ptr<const upstream_http::UpstreamRequest> make_upstream_request(
     ClientRequest& request, const std::string& client_address, const std::string& via) {
-    auto upstream = std::make_shared<upstream_http::OutRequest>();
+    auto upstream = std::make_shared<upstream_http::UpstreamRequest>();
     upstream->head = request_head_for_host(request.head, request.resolved.path, request.identity,
                                            client_address, via, request.body.size());
     upstream->body = std::move(request.body);
--- a/src/frontend/http/client_request.h
+++ b/src/frontend/http/client_request.h
@@ -24,7 +24,7 @@
     bool body_complete = false;
     Micros received_at{0};  // its first byte, on the loop's clock
     RequestId id = 0;       // of the core; 0: not handed over yet
-    std::shared_ptr<const upstream_http::OutRequest> upstream;
+    std::shared_ptr<const upstream_http::UpstreamRequest> upstream;
     ClientCapabilities client;
     ResponseWriter response;
     int response_status = 0;  // of the host; 0: none yet
@@ -48,7 +48,7 @@
 RequestError body_too_large(const FrontendContext& context);
 
 // As it goes to hosts; takes the body. `client_address`: without a port.
-std::shared_ptr<const upstream_http::OutRequest> make_upstream_request(
+std::shared_ptr<const upstream_http::UpstreamRequest> make_upstream_request(
     ClientRequest& request, const std::string& client_address, const std::string& via);
 // As it goes to the core.
 core::ClientRequest make_core_request(const ClientRequest& request,
--- a/src/frontend/http/frontend.cpp
+++ b/src/frontend/http/frontend.cpp
@@ -50,7 +50,8 @@
     return it == context_.in_flight.end() ? nullptr : it->second;
 }
 
-std::shared_ptr<const upstream_http::OutRequest> Frontend::upstream_request(RequestId id) const {
+std::shared_ptr<const upstream_http::UpstreamRequest> Frontend::upstream_request(
+    RequestId id) const {
     const HttpConnection* connection = find(id);
     return connection ? connection->upstream_request() : nullptr;
 }
--- a/src/frontend/http/frontend.h
+++ b/src/frontend/http/frontend.h
@@ -33,7 +33,7 @@
 
     // ---- requests; an id that is not in flight is ignored ----
     // As it goes to hosts; nullptr: not in flight.
-    std::shared_ptr<const upstream_http::OutRequest> upstream_request(RequestId id) const;
+    std::shared_ptr<const upstream_http::UpstreamRequest> upstream_request(RequestId id) const;
     // Before an attempt is sent: abandons the request if the client has closed its side.
     void check_client_connected(RequestId id);
     // Sends a rejection or failure.
--- a/src/frontend/http/http_connection.cpp
+++ b/src/frontend/http/http_connection.cpp
@@ -34,10 +34,10 @@
 
 void HttpConnection::on_data(std::string_view bytes) {
     if (!accepts_input()) return;
-    arrivals().add(bytes.size(), stream().arrived());
+    arrivals().record(bytes.size(), stream().arrived_at());
     if (!reading() || !pending_.empty()) {
         pending_.append(bytes);
-        if (pending_.size() > max_pending_bytes) stream().read(false);
+        if (pending_.size() > max_pending_bytes) stream().set_reading(false);
         if (reading()) process_pending();
         return;
     }
@@ -49,7 +49,7 @@
 
 // A request's time runs from the arrival of its first byte, also where it waited for its turn.
 std::size_t HttpConnection::feed_parser(std::string_view bytes) {
-    if (parser_.idle()) start_wait(arrivals().time_of(1, loop().now()));
+    if (parser_.idle()) start_wait(arrivals().arrival_time(1, loop().now()));
     const std::size_t consumed = parser_.feed(bytes);
     arrivals().consume(consumed);
     return consumed;
@@ -67,7 +67,8 @@
             break;
     }
     if (state_ == State::closed) return;
-    if (pending_.size() <= max_pending_bytes && state_ != State::lingering) stream().read(true);
+    if (pending_.size() <= max_pending_bytes && state_ != State::lingering)
+        stream().set_reading(true);
     if (half_closed_ && reading()) close();
 }
 
@@ -119,7 +120,7 @@
     context_.core.start_request(now, id, core_request);
 }
 
-std::shared_ptr<const upstream_http::OutRequest> HttpConnection::upstream_request() const {
+std::shared_ptr<const upstream_http::UpstreamRequest> HttpConnection::upstream_request() const {
     return request_->upstream;
 }
 
@@ -183,7 +184,7 @@
 
 // While draining a response is the last one where no further request has been received.
 bool HttpConnection::is_last_response() const {
-    return manager().drain().draining() && pending_.empty() && !stream().unread();
+    return manager().drain().draining() && pending_.empty() && !stream().has_unread_input();
 }
 
 void HttpConnection::finish_exchange() {
@@ -207,7 +208,7 @@
     state_ = State::lingering;
     pending_.clear();
     start_lingering_close();
-    if (half_closed_ && stream().queued() == 0) close();
+    if (half_closed_ && stream().queued_bytes() == 0) close();
 }
 
 // ---- the client's end -----------------------------------------------------------------------
@@ -215,7 +216,7 @@
 void HttpConnection::on_end() {
     half_closed_ = true;
     if (state_ == State::lingering) {
-        if (stream().queued() == 0) close();
+        if (stream().queued_bytes() == 0) close();
         return;
     }
     if (state_ == State::reading_head && pending_.empty()) return close();
@@ -231,7 +232,7 @@
     disconnect();
 }
 
-void HttpConnection::on_broken(int) {
+void HttpConnection::on_error(int) {
     if (state_ != State::closed) disconnect();
 }
 
@@ -258,9 +259,9 @@
 
 bool HttpConnection::has_unfinished_work() const {
     if (state_ == State::closed) return false;
-    if (state_ == State::lingering) return stream().queued() > 0;
-    return !reading() || receiving() || !pending_.empty() || stream().queued() > 0 ||
-           stream().unread();
+    if (state_ == State::lingering) return stream().queued_bytes() > 0;
+    return !reading() || receiving() || !pending_.empty() || stream().queued_bytes() > 0 ||
+           stream().has_unread_input();
 }
 
 // ---- time-outs ------------------------------------------------------------------------------
@@ -284,7 +285,8 @@
                 wait_started(),
                 milliseconds(state_ == State::reading_body ? listen.body_ms() : listen.head_ms())};
         case Wait::response_read:
-            if (state_ != State::streaming_response || stream().queued() == 0) return std::nullopt;
+            if (state_ != State::streaming_response || stream().queued_bytes() == 0)
+                return std::nullopt;
             return PendingWait{last_progress_, milliseconds(listen.stalled_ms())};
         case Wait::first_message:  // the limit of idle connections covers it
         case Wait::drain:          // the last response ends the connection
--- a/src/frontend/http/http_connection.h
+++ b/src/frontend/http/http_connection.h
@@ -28,7 +28,7 @@
                    std::string client, Micros waiting_since);
 
     // ---- of the request in flight; see Frontend. Ignored in other states. ----
-    std::shared_ptr<const upstream_http::OutRequest> upstream_request() const;
+    std::shared_ptr<const upstream_http::UpstreamRequest> upstream_request() const;
     void check_client_connected();
     void finish(const core::FinalResponse& response);
     void start_response(wire::Head& head, ResponseWriter::PauseHost pause_host);
@@ -43,7 +43,7 @@
 
     void on_data(std::string_view bytes) override;
     void on_end() override;
-    void on_broken(int error) override;
+    void on_error(int error) override;
     void on_drained() override;
 
   private:
--- a/src/frontend/http/response_writer.cpp
+++ b/src/frontend/http/response_writer.cpp
@@ -22,7 +22,7 @@
         stream.write({fmt::format("{:x}\r\n", bytes.size()), bytes, "\r\n"});
     else
         stream.write(bytes);
-    if (stream.queued() <= max_unread_bytes || paused_) return;
+    if (stream.queued_bytes() <= max_unread_bytes || paused_) return;
     paused_ = true;
     pause_host_(true);
 }
--- a/src/frontend/resp/resp_connection.cpp
+++ b/src/frontend/resp/resp_connection.cpp
@@ -52,13 +52,13 @@
     if (peer_closed()) return close(CloseReason::client_ended);
     start_wait(loop().now());
     if (state_ == State::failing) {
-        if (!discard(bytes.size())) stream().read(false);
+        if (!discard(bytes.size())) stream().set_reading(false);
         return;
     }
     const std::size_t before = input_.size();
     input_.append(bytes);
     account_input(before);
-    arrivals().add(bytes.size(), stream().arrived());
+    arrivals().record(bytes.size(), stream().arrived_at());
     read_commands();
 }
 
@@ -111,7 +111,7 @@
             words.push_back(parser_.argument(rest, i));
         consumed += parser_.consumed();
         const Micros now = loop().now();
-        handle_command(words, now - arrivals().time_of(consumed, now));
+        handle_command(words, now - arrivals().arrival_time(consumed, now));
         rest = std::string_view(input_).substr(consumed);
         parser_.reset();
     }
@@ -133,7 +133,7 @@
 
 bool RespConnection::must_wait() const {
     return throttled_ || responses_.size() >= max_responses ||
-           stream().queued() >= max_unread_bytes;
+           stream().queued_bytes() >= max_unread_bytes;
 }
 
 // Reads somewhat ahead of the capacity for responses, so that the client's end is seen behind
@@ -141,7 +141,7 @@
 void RespConnection::update_reading() {
     std::size_t max_buffered = wire::ParseLimits{}.max_message_bytes;
     if (must_wait()) max_buffered = context_.buffer_budget.exceeded() ? 0 : max_read_ahead_bytes;
-    stream().read(input_.size() <= max_buffered);
+    stream().set_reading(input_.size() <= max_buffered);
 }
 
 void RespConnection::handle_command(const std::vector<std::string_view>& words, Micros waited) {
@@ -209,7 +209,7 @@
         start_wait(loop().now());
         stream().write(out);
     }
-    if (stream().queued() == 0)
+    if (stream().queued_bytes() == 0)
         unread_since_ = 0us;
     else if (unread_since_ == 0us)
         unread_since_ = loop().now();
@@ -285,11 +285,11 @@
 // ---- the end --------------------------------------------------------------------------------
 
 bool RespConnection::idle() const {
-    return responses_.empty() && input_.empty() && stream().queued() == 0;
+    return responses_.empty() && input_.empty() && stream().queued_bytes() == 0;
 }
 
 bool RespConnection::at_rest() const {
-    return idle() && !stream().unread();
+    return idle() && !stream().has_unread_input();
 }
 
 ClientConnection::EvictionPriority RespConnection::eviction_priority() const {
@@ -300,7 +300,7 @@
 // Nothing is owed to the client, and the connection is to end.
 bool RespConnection::drained() const {
     if (state_ == State::lingering) return false;
-    if (!responses_.empty() || stream().queued() > 0) return false;
+    if (!responses_.empty() || stream().queued_bytes() > 0) return false;
     if (state_ == State::failing) return true;
     const DrainManager& drain = manager().drain();
     return drain.draining() && (at_rest() || drain.time_remaining(loop().now()) <= 0us);
--- a/src/frontend/resp/resp_connection.h
+++ b/src/frontend/resp/resp_connection.h
@@ -35,7 +35,7 @@
 
     void on_data(std::string_view bytes) override;
     void on_end() override { close(CloseReason::client_ended); }
-    void on_broken(int) override { close(CloseReason::client_ended); }
+    void on_error(int) override { close(CloseReason::client_ended); }
     void on_drained() override;
 
   private:
--- a/src/peers/datagram_socket.cpp
+++ b/src/peers/datagram_socket.cpp
@@ -52,7 +52,7 @@
     if (!fd_ || ::bind(fd_.get(), local.data(), local.size()) != 0)
         throw event::SystemError(description + ": " + std::strerror(errno));
     io_ = std::make_unique<event::IoWatcher>(loop, fd_.get(), [this](int) { receive(); });
-    io_->want(event::readable);
+    io_->set_interest(event::readable);
 }
 
 bool DatagramSocket::send_to(const DatagramAddress& to, std::string_view datagram) const {
--- a/src/registry/key_index.cpp
+++ b/src/registry/key_index.cpp
@@ -67,7 +67,7 @@
 }
 
 void ReloadingKeyIndex::reload() {
-    if (background_.busy()) {
+    if (background_.is_busy()) {
         reload_pending_ = true;
         return;
     }
--- a/src/upstream/common/connection_pool.cpp
+++ b/src/upstream/common/connection_pool.cpp
@@ -110,7 +110,7 @@
 bool ConnectionPool::is_usable(const PooledConnection& connection,
                                const HostConnections& host) const {
     return loop_.now() - connection.unused_since() < policy_.idle_timeout &&
-           connection.was_opened_to(host.address) && !connection.stream().unread();
+           connection.was_opened_to(host.address) && !connection.stream().has_unread_input();
 }
 
 std::variant<PooledConnection*, AcquireError> ConnectionPool::open_connection(
--- a/src/upstream/common/pooled_connection.cpp
+++ b/src/upstream/common/pooled_connection.cpp
@@ -61,7 +61,7 @@
     pool_.drop_unused(*this, DropReason::closed_by_host);
 }
 
-void PooledConnection::on_broken(int error) {
+void PooledConnection::on_error(int error) {
     if (has_exchange()) return on_exchange_error(error);
     pool_.drop_unused(*this, DropReason::closed_by_host);
 }
--- a/src/upstream/common/pooled_connection.h
+++ b/src/upstream/common/pooled_connection.h
@@ -50,7 +50,7 @@
     bool is_health_check() const { return key_ == health_check_key; }
     // Whether all bytes of the request have been passed to the system. Before that the request
     // cannot have run.
-    bool request_sent() const { return request_written() && stream_.queued() == 0; }
+    bool request_sent() const { return request_written() && stream_.queued_bytes() == 0; }
     bool was_opened_to(const std::optional<config::Endpoint>& address) const {
         return address == address_;
     }
@@ -66,7 +66,7 @@
     void on_connected() final;
     void on_data(std::string_view bytes) final;
     void on_end() final;
-    void on_broken(int error) final;
+    void on_error(int error) final;
 
   protected:
     // Called when the handshake completes while an exchange waits: the request can be written.
--- a/src/upstream/http/health_check.cpp
+++ b/src/upstream/http/health_check.cpp
@@ -7,9 +7,9 @@
 constexpr int min_unhealthy_status = 400;
 }  // namespace
 
-std::shared_ptr<const OutRequest> health_check_request(const std::string& path,
-                                                       const std::string& host) {
-    auto request = std::make_shared<OutRequest>();
+std::shared_ptr<const UpstreamRequest> health_check_request(const std::string& path,
+                                                            const std::string& host) {
+    auto request = std::make_shared<UpstreamRequest>();
     request->head = "GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n";
     return request;
 }
--- a/src/upstream/http/health_check.h
+++ b/src/upstream/http/health_check.h
@@ -6,13 +6,13 @@
 
 #include "config/config.h"
 #include "http/parser.h"
-#include "upstream/http/out_request.h"
+#include "upstream/http/upstream_request.h"
 
 namespace silverreach::upstream_http {
 
 // `path` is the configured path, `host` the host's address as in the endpoint list.
-std::shared_ptr<const OutRequest> health_check_request(const std::string& path,
-                                                       const std::string& host);
+std::shared_ptr<const UpstreamRequest> health_check_request(const std::string& path,
+                                                            const std::string& host);
 
 // Returns `success` for a status below 400 that is not a rejection according to `rules`, otherwise
 // `error`.
--- a/src/upstream/http/upstream.cpp
+++ b/src/upstream/http/upstream.cpp
@@ -28,7 +28,7 @@
       context_{loop, config, callbacks, pool_, attempts_} {}
 
 void Upstream::send(const core::AttemptKey& key, const std::string& host,
-                    std::shared_ptr<const OutRequest> request) {
+                    std::shared_ptr<const UpstreamRequest> request) {
     const auto acquired = acquire(host, {});
     if (const auto* error = std::get_if<upstream::AcquireError>(&acquired))
         return callbacks_.on_attempt_ended(key, host, upstream::outcome_of(*error), 0us, {}, 0);
@@ -57,7 +57,8 @@
 }
 
 void Upstream::set_reading(const core::AttemptKey& key, bool enabled) {
-    if (UpstreamConnection* connection = attempts_.find(key)) connection->stream().read(enabled);
+    if (UpstreamConnection* connection = attempts_.find(key))
+        connection->stream().set_reading(enabled);
 }
 
 void Upstream::start_health_check(const std::string& host) {
--- a/src/upstream/http/upstream.h
+++ b/src/upstream/http/upstream.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "upstream/http/attempt_callbacks.h"
-#include "upstream/http/out_request.h"
 #include "upstream/http/upstream_connection.h"
+#include "upstream/http/upstream_request.h"
 
 namespace silverreach::upstream_http {
 
@@ -22,7 +22,7 @@
 
     // `host` is an address as in the endpoint list. The attempt may end within the call.
     void send(const core::AttemptKey& key, const std::string& host,
-              std::shared_ptr<const OutRequest> request);
+              std::shared_ptr<const UpstreamRequest> request);
     // Ends the attempt and closes its connection; no callback follows.
     void cancel(const core::AttemptKey& key);
     // Cancels an attempt whose request has not been sent completely. Returns false if it has been
--- a/src/upstream/http/upstream_connection.cpp
+++ b/src/upstream/http/upstream_connection.cpp
@@ -20,7 +20,7 @@
 // ---- request ----
 
 void UpstreamConnection::begin(const core::AttemptKey& key,
-                               std::shared_ptr<const OutRequest> request) {
+                               std::shared_ptr<const UpstreamRequest> request) {
     request_ = std::move(request);
     deliver_body_ = false;
     close_after_response_ = false;
@@ -131,7 +131,7 @@
         !close_after_response_ && !has_trailing_bytes && request_sent() && !stream().closed();
     const core::AttemptKey ended_key = key();
     const http::Fields trailers = std::exchange(trailers_, {});
-    stream().read(true);
+    stream().set_reading(true);
     release(reusable);
     if (was_delivered) context_.callbacks.on_response_ended(ended_key, true, trailers);
 }
--- a/src/upstream/http/upstream_connection.h
+++ b/src/upstream/http/upstream_connection.h
@@ -8,7 +8,7 @@
 #include "http/parser.h"
 #include "upstream/common/connection_pool.h"
 #include "upstream/http/attempt_callbacks.h"
-#include "upstream/http/out_request.h"
+#include "upstream/http/upstream_request.h"
 
 namespace silverreach::upstream_http {
 
@@ -29,7 +29,7 @@
     UpstreamConnection(ConnectionContext& context, upstream::HostConnections& host, event::Fd fd);
 
     // Sends the request now, or once the connection is established.
-    void begin(const core::AttemptKey& key, std::shared_ptr<const OutRequest> request);
+    void begin(const core::AttemptKey& key, std::shared_ptr<const UpstreamRequest> request);
     // Ends the exchange and closes the connection without a callback.
     void abandon();
 
@@ -55,7 +55,7 @@
 
     ConnectionContext& context_;
     http::Parser parser_;
-    std::shared_ptr<const OutRequest> request_;
+    std::shared_ptr<const UpstreamRequest> request_;
     http::Fields trailers_;
     bool deliver_body_ = false;
     bool close_after_response_ = false;
--- a/src/upstream/http/out_request.h
+++ b/src/upstream/http/upstream_request.h
@@ -7,7 +7,7 @@
 
 // Shared by all attempts of a request. Each attempt adds its Silverreach-Attempt field and the
 // empty line that ends the head.
-struct OutRequest {
+struct UpstreamRequest {
     std::string head;  // without the empty line that ends it
     std::string body;
     bool head_method = false;  // the method is HEAD, so the response has no body
--- a/src/upstream/resp/upstream.cpp
+++ b/src/upstream/resp/upstream.cpp
@@ -80,7 +80,7 @@
     pool_.update_hosts(list.complete, updates);
 }
 
-void Upstream::return_unsent_to_unlisted() {
+void Upstream::end_unsent_to_unlisted() {
     // Collected first, because ending an attempt may change the pool.
     std::vector<core::AttemptKey> unsent;
     pool_.for_each_in_use([&](upstream::PooledConnection& connection) {
--- a/src/upstream/resp/upstream.h
+++ b/src/upstream/resp/upstream.h
@@ -42,7 +42,7 @@
     // Ends attempts as `not_started` whose commands have not been sent completely and whose hosts
     // are no longer available. Called after the core has received the change, so that it does not
     // choose the same host again.
-    void return_unsent_to_unlisted();
+    void end_unsent_to_unlisted();
 
     Stats stats() const { return {pool_.stats(), counters_}; }
 
--- a/src/upstream/resp/upstream_connection.cpp
+++ b/src/upstream/resp/upstream_connection.cpp
@@ -65,7 +65,7 @@
     if (!time_left) return end_unsent();
     mark_request_written();
     stream().write(command_->serialize(*time_left));
-    if (stream().queued() > 0) start_send_timer();
+    if (stream().queued_bytes() > 0) start_send_timer();
 }
 
 // ---- response ----
--- a/tests/event/event_test.cpp
+++ b/tests/event/event_test.cpp
@@ -44,9 +44,9 @@
     std::string order;
     IoWatcher io(loop, in.get(), [&](int) {
         order += "read ";
-        io.want(none);
+        io.set_interest(none);
     });
-    io.want(readable);
+    io.set_interest(readable);
     loop.after(5ms, [&] { order += "timer "; });
     loop.after(1ms, [&] {
         ASSERT_EQ(::write(out.get(), "x", 1), 1);
@@ -109,7 +109,7 @@
         bool ended = false;
         void on_data(std::string_view bytes) override { received.append(bytes); }
         void on_end() override { ended = true; }
-        void on_broken(int) override { ended = true; }
+        void on_error(int) override { ended = true; }
     } reader, writer;
     Loop loop;
     std::unique_ptr<Stream> in;
--- a/tests/gateway/host_test.cpp
+++ b/tests/gateway/host_test.cpp
@@ -126,11 +126,11 @@
     struct Early : event::StreamOwner {
         std::unique_ptr<event::Stream> stream;
         void on_data(std::string_view) override {
-            stream->read(false);
+            stream->set_reading(false);
             stream->write("HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nno");
         }
         void on_end() override {}
-        void on_broken(int) override {}
+        void on_error(int) override {}
     } early;
     event::Listener listener(
         g.loop, "127.0.0.1", 0, false, [] { return true; },
--- a/tests/gateway/http_test.cpp
+++ b/tests/gateway/http_test.cpp
@@ -216,7 +216,8 @@
     std::size_t written = 0;
     std::function<void(ScriptedHost::Peer&)> more = [&](ScriptedHost::Peer& p) {
         if (p.stream.closed() || written >= size) return;
-        if (p.stream.queued() == 0) p.stream.write(std::string(1 << 20, 'x')), written += 1 << 20;
+        if (p.stream.queued_bytes() == 0)
+            p.stream.write(std::string(1 << 20, 'x')), written += 1 << 20;
         g.loop.after(1ms, [&more, &p] { more(p); });
     };
     g.hosts[0]->respond = [&](ScriptedHost::Peer& p, const std::string&) {
@@ -224,12 +225,12 @@
         more(p);
     };
     auto c = g.connect();
-    c->stream.read(false);
+    c->stream.set_reading(false);
     c->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     EXPECT_TRUE(g.run([&] { return g.hosts[0]->ended > 0; }, 4s))
         << "the host's connection ends with the client's";
     EXPECT_LT(written, size / 2) << "back pressure reached the host";
-    c->stream.read(true);
+    c->stream.set_reading(true);
     g.run([&] { return c->over(); });
     EXPECT_TRUE(c->broken || c->got.size() < size);
 }
--- a/tests/gateway/rig.h
+++ b/tests/gateway/rig.h
@@ -43,7 +43,7 @@
             }
         }
         void on_end() override { stream.close(), ++host.ended; }
-        void on_broken(int) override { ++host.ended; }
+        void on_error(int) override { ++host.ended; }
     };
     event::Loop& loop;
     std::string bytes;  // all that ever came
@@ -63,7 +63,7 @@
               }) {}
     void on_data(std::string_view) override {}
     void on_end() override {}
-    void on_broken(int) override {}
+    void on_error(int) override {}
     std::string address() const { return "127.0.0.1:" + std::to_string(listener.port()); }
 };
 
--- a/tests/node/rig.h
+++ b/tests/node/rig.h
@@ -33,7 +33,7 @@
         Peer(Accepting& o, event::Fd fd) : owner(o), stream(o.loop, std::move(fd), *this) {}
         void on_data(std::string_view b) override { got.append(b), owner.data(*this); }
         void on_end() override { over = true, stream.close(), ++owner.ended; }
-        void on_broken(int) override { over = true, ++owner.ended; }
+        void on_error(int) override { over = true, ++owner.ended; }
     };
     event::Loop& loop;
     std::vector<std::unique_ptr<Peer>> peers;
--- a/tests/soak/world.cpp
+++ b/tests/soak/world.cpp
@@ -62,7 +62,7 @@
         }
     }
     void on_end() override { end(false); }
-    void on_broken(int) override { end(false); }
+    void on_error(int) override { end(false); }
     void work_over(bool ran) {
         if (working_on != 0)
             host.world_.ledger.attempt_over(std::exchange(working_on, 0), host.uid(), ran);
@@ -187,7 +187,7 @@
         });
     }
     void on_end() override { over = true, stream.close(); }
-    void on_broken(int) override { over = true; }
+    void on_error(int) override { over = true; }
     void say(const std::string& line) {
         char size[16];
         snprintf(size, sizeof size, "%zx\r\n", line.size());
@@ -279,7 +279,7 @@
         }
     }
     void on_end() override { ended(); }
-    void on_broken(int) override { ended(); }
+    void on_error(int) override { ended(); }
 
   private:
     struct Open {
--- a/tests/support/loop.h
+++ b/tests/support/loop.h
@@ -42,7 +42,7 @@
     }
     void on_data(std::string_view b) override { got.append(b); }
     void on_end() override { ended = true; }
-    void on_broken(int) override { broken = true; }
+    void on_error(int) override { broken = true; }
     bool over() const { return ended || broken; }
 };
 
