--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -117,7 +117,7 @@
 // Reads on a background thread, because reading a large description would delay responses too
 // long.
 void Instance::reload(std::function<void(bool)> done) {
-    if (background_.busy()) {
+    if (background_.is_busy()) {
         reload_pending_ = true;
         if (done) done(false);
         return;
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -113,7 +113,7 @@
     for (const platform::Target& target : list.targets)
         change.endpoints.push_back(target.entry);
     core_->on_endpoints_changed(now(), std::move(change));
-    upstream_->return_unsent_to_unlisted();
+    upstream_->end_unsent_to_unlisted();
 }
 
 void Node::reload(const platform::NodeConfig& new_config) {
--- a/src/discovery/rest_discovery.cpp
+++ b/src/discovery/rest_discovery.cpp
@@ -84,7 +84,7 @@
     on_failure(DiscoveryErrorCode::connection_lost, "the service closed the connection");
 }
 
-void RestDiscovery::on_broken(int error) {
+void RestDiscovery::on_error(int error) {
     on_failure(DiscoveryErrorCode::connection_lost, std::strerror(error));
 }
 
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -17,15 +17,16 @@
 namespace silverreach::event {
 namespace {
 using namespace std::chrono_literals;
-constexpr std::size_t read_size = std::size_t{64} * 1024;  // bytes of one read
-constexpr std::size_t idle_out_capacity = 4096;            // bytes that an empty out buffer keeps
+constexpr std::size_t max_read_bytes = std::size_t{64} * 1024;  // bytes per recv()
+constexpr std::size_t max_idle_capacity_bytes =
+    4096;  // bytes; an empty output buffer with more is shrunk
 constexpr std::size_t max_pieces = 4;
 
 ssize_t peek(int fd) {
     char byte;
     return ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 }
-// The call did nothing and says nothing about the connection: it can be made again.
+// The call had no effect and does not indicate a failed connection; it can be retried.
 bool is_transient(int error) {
     return error == EAGAIN || error == EWOULDBLOCK || error == EINTR || error == ENOMEM ||
            error == ENOBUFS;
@@ -50,17 +51,17 @@
 void Stream::update_interest() {
     if (closed()) return;
     const bool wants_read = reading_ && !connecting_ && !end_reported_;
-    const bool wants_write = connecting_ || queued() > 0;
-    watcher_->want((wants_read ? readable : none) | (wants_write ? writable : none));
+    const bool wants_write = connecting_ || queued_bytes() > 0;
+    watcher_->set_interest((wants_read ? readable : none) | (wants_write ? writable : none));
 }
 
-void Stream::read(bool on) {
-    if (reading_ && !on && unwatched_since_ == 0us) unwatched_since_ = loop_.now();
-    // Nothing has arrived while it was not watched: as if it had been.
-    if (!reading_ && !closed() && unwatched_since_ != 0us && !unread())
+void Stream::set_reading(bool enabled) {
+    if (reading_ && !enabled && unwatched_since_ == 0us) unwatched_since_ = loop_.now();
+    // If nothing has arrived while the socket was not watched, it counts as watched until now.
+    if (!reading_ && !closed() && unwatched_since_ != 0us && !has_unread_input())
         unwatched_since_ = loop_.now();
-    if (!reading_ && on) watched_from_turn_ = loop_.turn() + 1;
-    reading_ = on;
+    if (!reading_ && enabled) watched_from_turn_ = loop_.turn() + 1;
+    reading_ = enabled;
     update_interest();
 }
 
@@ -68,24 +69,24 @@
     write({bytes});
 }
 void Stream::write(std::initializer_list<std::string_view> pieces) {
-    if (closed() || ended_) return;
+    if (closed() || end_requested_) return;
     std::size_t done = 0;
-    if (!connecting_ && queued() == 0) {
-        std::array<iovec, max_pieces> parts{};
+    if (!connecting_ && queued_bytes() == 0) {
+        std::array<iovec, max_pieces> buffers{};
         msghdr message{};
-        message.msg_iov = parts.data();
+        message.msg_iov = buffers.data();
         for (const std::string_view piece : pieces)
             if (!piece.empty() && message.msg_iovlen < max_pieces)
-                parts[message.msg_iovlen++] = {const_cast<char*>(piece.data()), piece.size()};
+                buffers[message.msg_iovlen++] = {const_cast<char*>(piece.data()), piece.size()};
         const ssize_t count = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
-        // An error shows again at the next turn, where on_broken does not interrupt the owner's own
-        // call.
+        // An error is found again in the next turn. Reporting it there avoids calling on_error
+        // from within the owner's call of write().
         done = count > 0 ? static_cast<std::size_t>(count) : 0;
     }
     for (const std::string_view piece : pieces) {
         const std::size_t sent = std::min(done, piece.size());
         done -= sent;
-        out_.append(piece.substr(sent));
+        output_.append(piece.substr(sent));
     }
     update_interest();
 }
@@ -111,10 +112,10 @@
 }
 
 void Stream::receive() {
-    thread_local std::array<char, read_size> buffer;
+    thread_local std::array<char, max_read_bytes> buffer;
     const ssize_t count = ::recv(fd_.get(), buffer.data(), buffer.size(), 0);
     if (count > 0) {
-        note_arrival(static_cast<std::size_t>(count) < buffer.size());
+        record_arrival(static_cast<std::size_t>(count) < buffer.size());
         return owner_.on_data({buffer.data(), static_cast<std::size_t>(count)});
     }
     if (count < 0 && is_transient(errno)) return;
@@ -123,40 +124,41 @@
     owner_.on_end();
 }
 
-// The first turn that watches again finds what arrived while the socket was not watched; a later
-// one only what arrived since the last.
-void Stream::note_arrival(bool socket_emptied) {
+// The first turn that watches the socket again reads bytes that arrived while it was not watched; a
+// later turn reads only bytes that arrived since the previous turn.
+void Stream::record_arrival(bool socket_emptied) {
     const bool unwatched = unwatched_since_ != 0us && loop_.turn() <= watched_from_turn_;
-    arrived_ = unwatched ? unwatched_since_ : loop_.ready_since();
+    arrived_at_ = unwatched ? unwatched_since_ : loop_.ready_since();
     unwatched_since_ = 0us;
     if (socket_emptied) return;
-    unwatched_since_ = arrived_;
+    unwatched_since_ = arrived_at_;
     watched_from_turn_ = loop_.turn() + 1;
 }
 
 void Stream::flush() {
-    if (queued() == 0) return;
-    const ssize_t count = ::send(fd_.get(), out_.data() + sent_, queued(), MSG_NOSIGNAL);
+    if (queued_bytes() == 0) return;
+    const ssize_t count =
+        ::send(fd_.get(), output_.data() + sent_bytes_, queued_bytes(), MSG_NOSIGNAL);
     if (count < 0 && is_transient(errno)) return;
     if (count < 0) return fail(errno);
-    sent_ += static_cast<std::size_t>(count);
-    if (queued() > 0) {
-        if (sent_ > read_size) out_.erase(0, std::exchange(sent_, 0));
+    sent_bytes_ += static_cast<std::size_t>(count);
+    if (queued_bytes() > 0) {
+        if (sent_bytes_ > max_read_bytes) output_.erase(0, std::exchange(sent_bytes_, 0));
         return;
     }
-    out_.clear();
-    sent_ = 0;
-    if (out_.capacity() > idle_out_capacity) out_.shrink_to_fit();
-    if (ended_) ::shutdown(fd_.get(), SHUT_WR);
+    output_.clear();
+    sent_bytes_ = 0;
+    if (output_.capacity() > max_idle_capacity_bytes) output_.shrink_to_fit();
+    if (end_requested_) ::shutdown(fd_.get(), SHUT_WR);
     owner_.on_drained();
 }
 
 void Stream::fail(int error) {
     close();
-    owner_.on_broken(error);
+    owner_.on_error(error);
 }
 
-bool Stream::unread() const {
+bool Stream::has_unread_input() const {
     if (closed()) return false;
     return peek(fd_.get()) >= 0 || !is_transient(errno);
 }
@@ -166,27 +168,27 @@
     const ssize_t count = peek(fd_.get());
     if (count == 0 || (count < 0 && !is_transient(errno))) return true;
     if (count < 0) return false;
-    // The end may stand behind bytes that were not read.
+    // The peer's end may follow unread bytes.
     pollfd poll_end{fd_.get(), POLLRDHUP, 0};
     return ::poll(&poll_end, 1, 0) > 0 && (poll_end.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 void Stream::close() {
-    if (watcher_) watcher_->want(none);
+    if (watcher_) watcher_->set_interest(none);
     fd_.reset();
 }
 void Stream::reset() {
     if (closed()) return;
-    const linger now{1, 0};
-    setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    const linger abortive{1, 0};
+    setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &abortive, sizeof abortive);
     close();
 }
 void Stream::end() {
-    if (closed() || std::exchange(ended_, true)) return;
-    if (queued() == 0) ::shutdown(fd_.get(), SHUT_WR);
+    if (closed() || std::exchange(end_requested_, true)) return;
+    if (queued_bytes() == 0) ::shutdown(fd_.get(), SHUT_WR);
 }
 
-bool local_shortage(int error) {
+bool is_local_shortage(int error) {
     switch (error) {
         case EMFILE:
         case ENFILE:
@@ -213,10 +215,10 @@
         return {};
     }
     SocketAddress address(ip, port, v6);
-    // Interrupted, it goes on by itself like one under way.
-    const bool under_way = ::connect(fd.get(), address.get(), address.size) == 0 ||
-                           errno == EINPROGRESS || errno == EINTR;
-    if (!under_way) {
+    // A connect that a signal interrupts continues in the background like one in progress.
+    const bool started = ::connect(fd.get(), address.get(), address.size) == 0 ||
+                         errno == EINPROGRESS || errno == EINTR;
+    if (!started) {
         error = errno;
         return {};
     }
--- a/src/frontend/http/frontend.h
+++ b/src/frontend/http/frontend.h
@@ -33,7 +33,7 @@
 
     // ---- requests; an id that is not in flight is ignored ----
     // Returns the request for hosts; nullptr if it is not in flight.
-    std::shared_ptr<const upstream_http::OutRequest> upstream_request(RequestId id) const;
+    std::shared_ptr<const upstream_http::UpstreamRequest> upstream_request(RequestId id) const;
     // Called before an attempt is sent. Abandons the request if the client has closed its side.
     void check_client_connected(RequestId id);
     // Sends the response for a rejection or failure.
--- a/src/upstream/common/pooled_connection.cpp
+++ b/src/upstream/common/pooled_connection.cpp
@@ -12,15 +12,15 @@
       address_(*host.address),
       stream_(loop, std::move(fd), *this, true) {}
 
-// UBSan reads an object's vptr through a pipe. Connections are destroyed exactly where descriptors
-// are short, the pipe fails there, and a valid vptr is reported as invalid.
+// UBSan reads an object's vptr through a pipe. Connections are destroyed when the process runs out
+// of descriptors; the pipe then cannot be created, and UBSan reports a valid vptr as invalid.
 [[gnu::no_sanitize("vptr")]] PooledConnection::~PooledConnection() = default;
 
 bool PooledConnection::has_exchange() const {
     return state_ == State::connecting || state_ == State::starting || request_written();
 }
 
-bool PooledConnection::connected() const {
+bool PooledConnection::is_connected() const {
     return state_ == State::idle || state_ == State::starting || request_written();
 }
 
@@ -28,12 +28,12 @@
     key_ = key;
     exchange_started_ = loop_.now();
     ++exchange_id_;
-    state_ = connected() ? State::starting : State::connecting;
+    state_ = is_connected() ? State::starting : State::connecting;
 }
 
 void PooledConnection::end_exchange() {
     ++exchange_id_;
-    state_ = connected() ? State::idle : State::pending;
+    state_ = is_connected() ? State::idle : State::pending;
 }
 
 void PooledConnection::retire() {
@@ -52,7 +52,7 @@
 
 void PooledConnection::on_data(std::string_view bytes) {
     if (has_exchange()) return on_response_bytes(bytes);
-    // No request is under way: the host's framing cannot be trusted any more.
+    // Bytes without a request in progress mean that the host's framing cannot be trusted any more.
     pool_.drop_unused(*this, DropReason::unsolicited_bytes);
 }
 
@@ -61,8 +61,8 @@
     pool_.drop_unused(*this, DropReason::closed_by_host);
 }
 
-void PooledConnection::on_broken(int error) {
-    if (has_exchange()) return on_exchange_broken(error);
+void PooledConnection::on_error(int error) {
+    if (has_exchange()) return on_exchange_error(error);
     pool_.drop_unused(*this, DropReason::closed_by_host);
 }
 
