--- a/tests/faults/accept_test.cpp
+++ b/tests/faults/accept_test.cpp
@@ -14,26 +14,27 @@
         FaultNode n;
         ASSERT_TRUE(n.start());
         n.process->signal(SIGTERM);
-        n.pass(300ms);
+        n.run_for(300ms);
         n.process->faults.fail(faults::accept4_call, error, faults::unlimited, 450ms);
-        n.pass(50ms);
+        n.run_for(50ms);
         std::vector<std::unique_ptr<Client>> clients;
         for (std::uint64_t id = 1; id <= 4; ++id) {
             clients.push_back(n.connect());
             clients.back()->stream.write(query(id));
         }
-        n.run(
+        n.run_until(
             [&] {
                 return std::all_of(clients.begin(), clients.end(),
-                                   [](auto& c) { return !c->got.empty() || c->over(); });
+                                   [](auto& c) { return !c->received.empty() || c->is_closed(); });
             },
             3s);
-        EXPECT_GT(n.process->faults.hit(faults::accept4_call), 0);
+        EXPECT_GT(n.process->faults.failed_calls(faults::accept4_call), 0);
         for (auto& c : clients)
-            EXPECT_TRUE(is_answer(c->got)) << "error " << error << ", got '" << c->got << "'";
+            EXPECT_TRUE(is_answer(c->received))
+                << "error " << error << ", got '" << c->received << "'";
         clients.clear();
-        EXPECT_TRUE(n.run([&] { return n.process->ended().has_value(); }, 4s));
-        EXPECT_EQ(n.process->wait_for_end(), 0);
+        EXPECT_TRUE(n.run_until([&] { return n.process->exit_status().has_value(); }, 4s));
+        EXPECT_EQ(n.process->wait_for_exit(), 0);
     }
 }
 
@@ -43,7 +44,7 @@
         ASSERT_TRUE(n.start());
         n.process->faults.fail(faults::accept4_call, error, 1, 2s);
         EXPECT_TRUE(n.serves(1)) << error;
-        EXPECT_EQ(n.process->faults.hit(faults::accept4_call), 1);
+        EXPECT_EQ(n.process->faults.failed_calls(faults::accept4_call), 1);
         // And one that lasts: what has come is answered when it is over.
         n.process->faults.fail(faults::accept4_call, error, faults::unlimited, 700ms);
         EXPECT_TRUE(n.serves(2)) << error;
@@ -59,10 +60,11 @@
         idle.push_back(n.connect());
         idle.back()->stream.write("*1\r\n$4\r\nPING\r\n");
     }
-    ASSERT_TRUE(n.run([&] {
-        return std::all_of(idle.begin(), idle.end(), [](auto& c) { return c->got.size() == 7; });
+    ASSERT_TRUE(n.run_until([&] {
+        return std::all_of(idle.begin(), idle.end(),
+                           [](auto& c) { return c->received.size() == 7; });
     }));
-    n.pass(100ms);
+    n.run_for(100ms);
     // No descriptor beyond those that are open now.
     const std::string folder = "/proc/" + std::to_string(n.process->pid()) + "/fd/";
     rlim_t lowest_free = 0;
--- a/tests/faults/client_end_test.cpp
+++ b/tests/faults/client_end_test.cpp
@@ -19,11 +19,11 @@
     for (std::uint64_t id = 1; id <= 1000; ++id)
         all += query(id);
     c->stream.write(all);
-    ASSERT_TRUE(n.run([&] { return !begun.empty(); }));
-    n.pass(50ms);
+    ASSERT_TRUE(n.run_until([&] { return !begun.empty(); }));
+    n.run_for(50ms);
     const Micros closed = event::Loop::clock();
     c.reset();
-    n.pass(1500ms);
+    n.run_for(1500ms);
     for (const Micros at : begun)
         EXPECT_LE((at - closed).count(), Micros(100ms).count());
 }
@@ -31,7 +31,7 @@
 TEST(ClientsTogether, WhatOthersSendTakesNoAnswerFromAWholeCommand) {
     constexpr int clients = 30, pings = 500;
     FaultNode n(12, [](std::string config) {
-        return replaced(std::move(config), "\"memory_mb\":64", "\"memory_mb\":4");
+        return replace_once(std::move(config), "\"memory_mb\":64", "\"memory_mb\":4");
     });
     for (auto& h : n.hosts)
         h->respond = [&](Accepting::Peer& p, const Words& w) {
@@ -45,8 +45,8 @@
         all.push_back(n.connect());
         all.back()->stream.write(query(id, "c=lookup,t=team,d=1500,units=1,spread=1,first=0"));
     }
-    n.pass(100ms);
-    std::erase_if(all, [](const auto& c) { return !c->got.empty(); });  // refused at once
+    n.run_for(100ms);
+    std::erase_if(all, [](const auto& c) { return !c->received.empty(); });  // refused at once
     ASSERT_GE(all.size(), 10u);
     // Whole commands that wait behind the first answer, on all connections more than is kept.
     std::string flood;
@@ -54,13 +54,14 @@
         flood += "*2\r\n$4\r\nPING\r\n$100\r\n" + std::string(100, 'x') + "\r\n";
     for (auto& c : all)
         c->stream.write(flood);
-    const auto whole = [](const auto& c) { return replies(c->got).size() == 1 + pings; };
-    n.run(
+    const auto whole = [](const auto& c) { return replies(c->received).size() == 1 + pings; };
+    n.run_until(
         [&] {
             return std::all_of(all.begin(), all.end(),
-                               [&](auto& c) { return c->over() || whole(c); });
+                               [&](auto& c) { return c->is_closed() || whole(c); });
         },
         4s);
     for (auto& c : all)
-        EXPECT_TRUE(whole(c)) << replies(c->got).size() << " answers, ended " << c->over();
+        EXPECT_TRUE(whole(c)) << replies(c->received).size() << " answers, ended "
+                              << c->is_closed();
 }
--- a/tests/faults/discovery_test.cpp
+++ b/tests/faults/discovery_test.cpp
@@ -9,6 +9,6 @@
     n.discovery->first = Discovery::list(50, true, n.hosts[0]->target("s-1", "draining"));
     ASSERT_TRUE(n.start());
     EXPECT_TRUE(
-        n.run([&] { return n.process->log().find("revision=50") != std::string::npos; }, 6s))
+        n.run_until([&] { return n.process->log().find("revision=50") != std::string::npos; }, 6s))
         << n.process->log();
 }
--- a/tests/faults/host_test.cpp
+++ b/tests/faults/host_test.cpp
@@ -11,7 +11,7 @@
 
 TEST(LocalShortage, IsNoHostsFault) {
     struct Case {
-        faults::Call call;
+        faults::SystemCall call;
         int error;
     };
     for (const Case c :
@@ -25,8 +25,8 @@
         const std::string list = "c=lookup,t=team,d=60,units=1,spread=1,first=0";
         for (std::uint64_t id = 1; id <= 3; ++id)
             EXPECT_TRUE(is_answer(n.talk(query(id, list), 4)));
-        EXPECT_GT(n.process->faults.hit(c.call), 0) << "call " << c.call;
-        n.pass(120ms);
+        EXPECT_GT(n.process->faults.failed_calls(c.call), 0) << "call " << c.call;
+        n.run_for(120ms);
         const std::string impatient = query(10, "c=lookup,t=team,d=150,units=1,spread=1,first=0");
         EXPECT_EQ(n.talk(impatient, 10), bulk("for " + hex(10)))
             << "call " << c.call << " error " << c.error << ": the host was put out";
@@ -38,13 +38,13 @@
     ASSERT_TRUE(n.start());
     n.process->faults.fail(faults::connect_call, EINTR, 1, 5s);
     EXPECT_TRUE(n.serves(1));
-    EXPECT_EQ(n.process->faults.hit(faults::connect_call), 1);
+    EXPECT_EQ(n.process->faults.failed_calls(faults::connect_call), 1);
     EXPECT_EQ(n.hosts[0]->peers.size(), 1u) << "one connection, not two";
 }
 
 TEST(Transient, ErrorsOfAMomentBreakNoConnection) {
     struct Case {
-        faults::Call call;
+        faults::SystemCall call;
         int error, times;
     };
     for (const Case c :
@@ -56,15 +56,16 @@
         ASSERT_TRUE(n.start());
         auto c1 = n.connect();
         c1->stream.write(query(1));
-        ASSERT_TRUE(n.run([&] { return is_answer(c1->got); }));
+        ASSERT_TRUE(n.run_until([&] { return is_answer(c1->received); }));
         n.process->faults.fail(c.call, c.error, c.times, 5s);
         auto c2 = n.connect();
         c1->stream.write(query(2));
         c2->stream.write(query(3));
-        n.run([&] { return replies(c1->got).size() == 2 && is_answer(c2->got); }, 1500ms);
-        EXPECT_EQ(replies(c1->got).size(), 2u) << "call " << c.call << " error " << c.error;
-        EXPECT_TRUE(is_answer(c2->got)) << "call " << c.call << " error " << c.error;
-        EXPECT_EQ(n.process->faults.hit(c.call), c.times) << "call " << c.call;
+        n.run_until([&] { return replies(c1->received).size() == 2 && is_answer(c2->received); },
+                    1500ms);
+        EXPECT_EQ(replies(c1->received).size(), 2u) << "call " << c.call << " error " << c.error;
+        EXPECT_TRUE(is_answer(c2->received)) << "call " << c.call << " error " << c.error;
+        EXPECT_EQ(n.process->faults.failed_calls(c.call), c.times) << "call " << c.call;
         EXPECT_TRUE(n.runs()) << n.process->log();
     }
 }
@@ -81,14 +82,14 @@
         ASSERT_TRUE(n.start());
         auto c = n.connect();
         c->stream.write(query(1));
-        ASSERT_TRUE(n.run([&] { return first != nullptr; }));
+        ASSERT_TRUE(n.run_until([&] { return first != nullptr; }));
         // The host's answer cannot be read: the attempt may have run, and the class may be
         // repeated.
         n.process->faults.fail(faults::recv_call, error, 1, 5s);
         first->stream.write(served("unread"));
-        EXPECT_TRUE(n.run([&] { return c->got == bulk("for " + hex(1)); }, 2s))
-            << error << ": " << c->got;
-        EXPECT_EQ(n.process->faults.hit(faults::recv_call), 1);
+        EXPECT_TRUE(n.run_until([&] { return c->received == bulk("for " + hex(1)); }, 2s))
+            << error << ": " << c->received;
+        EXPECT_EQ(n.process->faults.failed_calls(faults::recv_call), 1);
     }
 }
 
@@ -96,10 +97,10 @@
     for (const int error : {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, ECONNRESET}) {
         FaultNode n(2);
         ASSERT_TRUE(n.start());
-        ASSERT_TRUE(n.run([&] { return !n.discovery->asked.empty(); }));
+        ASSERT_TRUE(n.run_until([&] { return !n.discovery->asked.empty(); }));
         n.process->faults.fail(faults::connect_result, error, 1, 5s);
         EXPECT_TRUE(n.serves(1)) << error;
-        EXPECT_EQ(n.process->faults.hit(faults::connect_result), 1);
+        EXPECT_EQ(n.process->faults.failed_calls(faults::connect_result), 1);
     }
 }
 
@@ -109,10 +110,10 @@
         ASSERT_TRUE(n.start());
         auto c = n.connect();
         c->stream.write("*1\r\n$4\r\nPING\r\n");
-        ASSERT_TRUE(n.run([&] { return c->got.size() == 7; }));
+        ASSERT_TRUE(n.run_until([&] { return c->received.size() == 7; }));
         n.process->faults.fail(faults::send_call, error, 2, 5s);
         c->stream.write("*1\r\n$4\r\nPING\r\n");
-        EXPECT_TRUE(n.run([&] { return c->over(); }, 1s)) << error;
+        EXPECT_TRUE(n.run_until([&] { return c->is_closed(); }, 1s)) << error;
         EXPECT_TRUE(n.serves(1));
     }
 }
--- a/tests/faults/log_test.cpp
+++ b/tests/faults/log_test.cpp
@@ -34,7 +34,7 @@
 void change_list(FaultNode& n, int from, int changes) {
     for (int i = 0; i < changes; ++i)
         n.discovery->say(Discovery::list(from + i, false, n.hosts[0]->target("s-1")));
-    n.pass(50ms);
+    n.run_for(50ms);
 }
 }  // namespace
 
@@ -48,8 +48,8 @@
     EXPECT_TRUE(n.serves(2));
     pipe.take();
     change_list(n, 62, 1);
-    EXPECT_TRUE(
-        n.run([&] { return pipe.take().find("log_dropped lines=") != std::string::npos; }, 3s))
+    EXPECT_TRUE(n.run_until(
+        [&] { return pipe.take().find("log_dropped lines=") != std::string::npos; }, 3s))
         << "the count of dropped lines is told once there is room";
     EXPECT_TRUE(n.serves(3));
 }
@@ -72,10 +72,10 @@
         n.process->faults.fail(faults::write_call, error, faults::unlimited, 300ms);
         change_list(n, 42, 5);
         EXPECT_TRUE(n.serves(1));
-        EXPECT_GT(n.process->faults.hit(faults::write_call), 0);
-        n.pass(400ms);
+        EXPECT_GT(n.process->faults.failed_calls(faults::write_call), 0);
+        n.run_for(400ms);
         change_list(n, 47, 1);
-        EXPECT_TRUE(n.run(
+        EXPECT_TRUE(n.run_until(
             [&] { return n.process->log().find("log_dropped lines=") != std::string::npos; }, 3s))
             << error << "\n"
             << n.process->log();
--- a/tests/faults/rig.h
+++ b/tests/faults/rig.h
@@ -11,7 +11,7 @@
 namespace fault_test {
 using namespace node_test;
 using test_support::NodeProcess;
-using test_support::replaced;
+using test_support::replace_once;
 
 // Whole answers in what a client got.
 inline std::vector<resp::Reply> replies(const std::string& got) {
@@ -33,7 +33,7 @@
     return at == std::string::npos ? -1 : std::stoll(list.substr(at + name.size() + 2));
 }
 
-class FaultNode : public test_support::OnLoop {
+class FaultNode : public test_support::LoopRunner {
   public:
     explicit FaultNode(int host_count = 1,
                        const std::function<std::string(std::string)>& adapt = {},
@@ -57,11 +57,11 @@
     }
     bool ready(std::chrono::milliseconds most = 5s) {
         const auto end = event::Loop::clock() + most;
-        while (event::Loop::clock() < end && !process->ended())
+        while (event::Loop::clock() < end && !process->exit_status())
             if (talk("*1\r\n$4\r\nPING\r\n", 7, 200ms) == "+PONG\r\n")
                 return true;
             else
-                pass(20ms);
+                run_for(20ms);
         return false;
     }
     std::unique_ptr<Client> connect() {
@@ -71,11 +71,11 @@
                      std::chrono::milliseconds most = 3s) {
         auto c = connect();
         c->stream.write(bytes);
-        run([&] { return c->over() || c->got.size() >= size; }, most);
-        return c->got;
+        run_until([&] { return c->is_closed() || c->received.size() >= size; }, most);
+        return c->received;
     }
     bool serves(std::uint64_t id) { return talk(query(id), 10) == bulk("for " + hex(id)); }
-    bool runs() const { return !process->ended(); }
+    bool runs() const { return !process->exit_status(); }
 
     std::vector<std::unique_ptr<Host>> hosts;
     std::unique_ptr<Discovery> discovery;
--- a/tests/faults/slow_start_test.cpp
+++ b/tests/faults/slow_start_test.cpp
@@ -14,10 +14,10 @@
     std::uint64_t ids = 0;
     explicit Stepped(std::chrono::microseconds step)
         : node(warm_hosts, [](std::string config) {
-              config = replaced(std::move(config), "\"coldUs\":10000000", "\"coldUs\":4000000");
-              return replaced(std::move(config), "\"instances\":3", "\"instances\":1");
+              config = replace_once(std::move(config), "\"coldUs\":10000000", "\"coldUs\":4000000");
+              return replace_once(std::move(config), "\"instances\":3", "\"instances\":1");
           }) {
-        node.process->faults->wall_step_us = step.count();
+        node.process->faults->wall_clock_offset_us = step.count();
     }
     // Answers take a while that differs, as they do; else a gateway keeps to the host that was
     // fastest once.
@@ -32,7 +32,7 @@
     bool start() {
         for (auto& host : node.hosts)
             work_like_a_host(*host);
-        if (!node.start() || !node.run([&] { return !node.discovery->asked.empty(); }))
+        if (!node.start() || !node.run_until([&] { return !node.discovery->asked.empty(); }))
             return false;
         client = node.connect();
         return true;
@@ -46,7 +46,7 @@
             node.loop.after(6ms, next);
         };
         next();
-        node.pass(span + 50ms);
+        node.run_for(span + 50ms);
     }
     // What the new host got, as a part of the mean of warm ones.
     double share(std::chrono::milliseconds span) {
@@ -66,9 +66,9 @@
     void again(std::int64_t boot_ms) {
         node.discovery->say(
             Discovery::list(++revision, false,
-                            replaced(node.hosts.back()->target("s-new"), "\"boot_ms\":0",
-                                     "\"boot_ms\":" + std::to_string(boot_ms))));
-        node.pass(20ms);
+                            replace_once(node.hosts.back()->target("s-new"), "\"boot_ms\":0",
+                                         "\"boot_ms\":" + std::to_string(boot_ms))));
+        node.run_for(20ms);
     }
     int revision = 41;
 };
@@ -113,7 +113,7 @@
     s.appears(unix_ms());
     s.load(4500ms);
     EXPECT_GT(s.share(1000ms), 0.7);
-    s.node.process->faults->wall_step_us = std::chrono::microseconds(-1h).count();
+    s.node.process->faults->wall_clock_offset_us = std::chrono::microseconds(-1h).count();
     EXPECT_GT(s.share(1000ms), 0.7) << "a step alone";
     s.again(unix_ms() - 7'200'000);
     EXPECT_LT(s.share(1500ms), 0.55) << "another start time";
--- a/tests/faults/start_test.cpp
+++ b/tests/faults/start_test.cpp
@@ -11,16 +11,16 @@
         return "\"" + test_support::own_address() + ":" +
                std::to_string(test_support::free_port()) + "\"";
     };
-    config = replaced(std::move(config), "\"peers\":false", "\"peers\":true");
-    return replaced(std::move(config), "\"seed\":",
-                    R"("peer_listen":")" + own + R"(","peers":[")" + own + "\"," + other() + "," +
-                        other() + "],\"seed\":");
+    config = replace_once(std::move(config), "\"peers\":false", "\"peers\":true");
+    return replace_once(std::move(config), "\"seed\":",
+                        R"("peer_listen":")" + own + R"(","peers":[")" + own + "\"," + other() +
+                            "," + other() + "],\"seed\":");
 }
 }  // namespace
 
 TEST(Start, WhatFailsForAMomentIsTriedAgain) {
     struct Case {
-        faults::Call call;
+        faults::SystemCall call;
         int error;
     };
     for (const Case c : {Case{faults::socket_call, ENFILE}, Case{faults::bind_call, EADDRINUSE},
@@ -30,7 +30,7 @@
             FaultNode n(1, with_peers);
             n.process->faults.fail(c.call, c.error, times, 10s);
             EXPECT_TRUE(n.start()) << "call " << c.call << "\n" << n.process->log();
-            EXPECT_EQ(n.process->faults.hit(c.call), times);
+            EXPECT_EQ(n.process->faults.failed_calls(c.call), times);
             EXPECT_TRUE(n.serves(1)) << "call " << c.call;
         }
     }
@@ -41,9 +41,9 @@
     n.process->faults.fail(faults::bind_call, EADDRINUSE, faults::unlimited, 60s);
     const Micros begun = event::Loop::clock();
     n.process->start();
-    ASSERT_TRUE(n.run([&] { return n.process->ended().has_value(); }, 20s));
+    ASSERT_TRUE(n.run_until([&] { return n.process->exit_status().has_value(); }, 20s));
     EXPECT_GT((event::Loop::clock() - begun).count(), Micros(2s).count());
-    EXPECT_EQ(WEXITSTATUS(n.process->wait_for_end()), 3);
+    EXPECT_EQ(WEXITSTATUS(n.process->wait_for_exit()), 3);
     EXPECT_NE(n.process->log().find("start_delayed"), std::string::npos) << n.process->log();
     EXPECT_NE(n.process->log().find("Address already in use"), std::string::npos)
         << n.process->log();
@@ -54,7 +54,7 @@
         FaultNode n;
         ASSERT_TRUE(n.start());
         Discovery other(n.loop);
-        const std::string fresh = replaced(n.config, n.discovery->address(), other.address());
+        const std::string fresh = replace_once(n.config, n.discovery->address(), other.address());
         if (torn) {
             n.process->write_file(fresh.substr(0, fresh.size() / 2));
         } else {
@@ -63,10 +63,10 @@
         }
         n.process->signal(SIGHUP);
         n.process->signal(SIGHUP);
-        n.pass(300ms);
+        n.run_for(300ms);
         EXPECT_TRUE(n.serves(1)) << "the old one serves meanwhile";
         if (torn) n.process->configure(fresh);
-        EXPECT_TRUE(n.run([&] { return !other.asked.empty(); }, 3s)) << n.process->log();
+        EXPECT_TRUE(n.run_until([&] { return !other.asked.empty(); }, 3s)) << n.process->log();
     }
 }
 
@@ -74,8 +74,9 @@
     FaultNode n;
     n.process->faults.fail(faults::bind_call, EADDRINUSE, faults::unlimited, 60s);
     n.process->start();
-    ASSERT_TRUE(n.run([&] { return n.process->faults.hit(faults::bind_call) > 2; }, 3s));
+    ASSERT_TRUE(
+        n.run_until([&] { return n.process->faults.failed_calls(faults::bind_call) > 2; }, 3s));
     n.process->signal(SIGTERM);
-    EXPECT_TRUE(n.run([&] { return n.process->ended().has_value(); }, 1s));
-    EXPECT_EQ(n.process->wait_for_end(), 0);
+    EXPECT_TRUE(n.run_until([&] { return n.process->exit_status().has_value(); }, 1s));
+    EXPECT_EQ(n.process->wait_for_exit(), 0);
 }
--- a/tests/gateway/drain_test.cpp
+++ b/tests/gateway/drain_test.cpp
@@ -43,7 +43,7 @@
         clients.push_back(raw(g.instance->port(), keep_alive("/mine")));
     bool done = false;
     g.instance->drain(3s, [&] { done = true; });
-    EXPECT_TRUE(g.run([&] { return done; }));
+    EXPECT_TRUE(g.run_until([&] { return done; }));
     for (const event::Fd& client : clients) {
         const std::string got = received(client);
         EXPECT_EQ(answers(got), 1) << got;
@@ -54,10 +54,10 @@
     TestGateway g;
     const event::Fd client =
         raw(g.instance->port(), keep_alive("/mine") + keep_alive("/mine") + keep_alive("/mine"));
-    ASSERT_TRUE(g.run([&] { return g.requests() >= 1; }));
+    ASSERT_TRUE(g.run_until([&] { return g.requests() >= 1; }));
     bool done = false;
     g.instance->drain(3s, [&] { done = true; });
-    EXPECT_TRUE(g.run([&] { return done; }, 2s)) << "it does not wait for its whole time";
+    EXPECT_TRUE(g.run_until([&] { return done; }, 2s)) << "it does not wait for its whole time";
     EXPECT_EQ(answers(received(client)), 3);
 }
 
@@ -69,12 +69,12 @@
                        "\r\n\r\n" + body);
     };
     const event::Fd client = raw(g.instance->port(), keep_alive("/mine"));
-    ASSERT_TRUE(g.run([&] { return g.requests() == 1; }));
-    g.pass(100ms);
+    ASSERT_TRUE(g.run_until([&] { return g.requests() == 1; }));
+    g.run_for(100ms);
     bool done = false;
     g.instance->drain(3s, [&] { done = true; });
     std::string got;
-    g.run([&] { return got += received(client), done; }, 3s);
+    g.run_until([&] { return got += received(client), done; }, 3s);
     got += received(client);
     EXPECT_GT(got.size(), body.size());
 }
--- a/tests/gateway/fleet_test.cpp
+++ b/tests/gateway/fleet_test.cpp
@@ -133,10 +133,11 @@
         clients.push_back(g.connect());
         clients.back()->stream.write(TestGateway::get("/a", "X-Deadline-Ms: 300\r\n"));
     }
-    g.run([&] {
-        return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->over(); });
+    g.run_until([&] {
+        return std::all_of(clients.begin(), clients.end(),
+                           [](const auto& c) { return c->is_closed(); });
     });
     EXPECT_LE(g.hosts[0]->peers.size(), 3u);
     for (const auto& c : clients)
-        EXPECT_GE(status(c->got), 503) << c->got;
+        EXPECT_GE(status(c->received), 503) << c->received;
 }
--- a/tests/gateway/host_test.cpp
+++ b/tests/gateway/host_test.cpp
@@ -3,7 +3,7 @@
 #include <sys/resource.h>
 
 #include "rig.h"
-#include "tests/support/late_host.h"
+#include "tests/support/delayed_accept_host.h"
 
 using namespace rig;
 
@@ -83,9 +83,9 @@
                 };
                 auto c = g.connect();
                 c->stream.write("GET /a HTTP/" + version + "\r\nHost: h\r\n\r\n");
-                ASSERT_TRUE(g.run([&] { return c->over(); }));
-                EXPECT_TRUE(c->broken) << start << c->got;
-                EXPECT_FALSE(c->got.ends_with("0\r\n\r\n"));
+                ASSERT_TRUE(g.run_until([&] { return c->is_closed(); }));
+                EXPECT_TRUE(c->has_failed) << start << c->received;
+                EXPECT_FALSE(c->received.ends_with("0\r\n\r\n"));
                 EXPECT_EQ(g.requests(), 1u) << "its response had begun";
             }
 }
@@ -103,7 +103,7 @@
     TestGateway g;
     ASSERT_EQ(status(g.talk(post("/a"))), 200);
     g.hosts[0]->peers[0]->stream.close();
-    g.run([] { return false; }, 30ms);
+    g.run_until([] { return false; }, 30ms);
     EXPECT_EQ(status(g.talk(post("/a"))), 200);
     EXPECT_EQ(g.hosts[0]->peers.size(), 2u);
 }
@@ -141,7 +141,7 @@
         "hosts.json",
         R"({"clusterName":"hosts","endpoints":[{"lbEndpoints":[{"endpoint":{"address":{"socketAddress":{"address":"127.0.0.1","portValue":)" +
             std::to_string(listener.port()) + "}}}}]}]}");
-    g.run([] { return false; }, 600ms);
+    g.run_until([] { return false; }, 600ms);
     const std::string body(std::size_t{20} * 1024 * 1024, 'x');
     const std::string answer =
         g.talk("PUT /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: " +
@@ -178,7 +178,7 @@
         EXPECT_EQ(has(answer, "no-time"), path != "/safe")
             << "only a safe one is rejected: " << answer;
         const std::size_t sent = g.requests();
-        g.run([] { return false; }, 300ms);
+        g.run_until([] { return false; }, 300ms);
         EXPECT_EQ(g.requests(), sent);
     }
 }
@@ -203,10 +203,10 @@
     {
         auto c = g.connect();
         c->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-        ASSERT_TRUE(g.run([&] { return g.requests() == 1; }));
+        ASSERT_TRUE(g.run_until([&] { return g.requests() == 1; }));
         c->stream.reset();
     }
-    g.run([] { return false; }, 700ms);
+    g.run_until([] { return false; }, 700ms);
     EXPECT_EQ(g.requests(), 1u) << "no hedged request for a disconnected client";
 }
 
@@ -217,12 +217,12 @@
     auto first = std::move(g.hosts[0]);
     g.hosts.erase(g.hosts.begin());
     g.list_hosts();
-    g.run([] { return false; }, 600ms);
+    g.run_until([] { return false; }, 600ms);
     for (int i = 0; i < 10; ++i)
         EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
     EXPECT_EQ(g.hosts[0]->requests.size(), 10u);
     g.write("hosts.json", R"({"clusterName":"hosts","endpoints":[{"lbEndpoints":[{}]}]})");
-    g.run([] { return false; }, 600ms);
+    g.run_until([] { return false; }, 600ms);
     EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200) << "the last good list stays";
 }
 
@@ -243,12 +243,12 @@
     while (idle.size() < wanted) {
         for (int i = 0; i < 200 && idle.size() < wanted; ++i)
             idle.push_back(g.connect());
-        g.run([] { return false; }, 5ms);
+        g.run_until([] { return false; }, 5ms);
     }
-    g.run([] { return false; }, 200ms);
+    g.run_until([] { return false; }, 200ms);
     EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
     for (const auto& c : idle)
-        ASSERT_FALSE(c->over());
+        ASSERT_FALSE(c->is_closed());
     idle.clear();
     setrlimit(RLIMIT_NOFILE, &before);
 }
@@ -257,7 +257,7 @@
     TestGateway g;
     auto kept = g.connect();
     kept->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-    ASSERT_TRUE(g.run([&] { return has(kept->got, "ok"); }));
+    ASSERT_TRUE(g.run_until([&] { return has(kept->received, "ok"); }));
     auto fresh = g.connect();  // its own end is open; the gateway's comes when nothing is left
     rlimit before{};
     getrlimit(RLIMIT_NOFILE, &before);
@@ -267,10 +267,11 @@
     none.rlim_cur = static_cast<rlim_t>(lowest.get());
     lowest.reset();
     setrlimit(RLIMIT_NOFILE, &none);
-    EXPECT_TRUE(g.run([&] { return fresh->over(); })) << "closed at once, not left waiting";
-    kept->got.clear();
+    EXPECT_TRUE(g.run_until([&] { return fresh->is_closed(); }))
+        << "closed at once, not left waiting";
+    kept->received.clear();
     kept->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-    EXPECT_TRUE(g.run([&] { return has(kept->got, "ok"); }))
+    EXPECT_TRUE(g.run_until([&] { return has(kept->received, "ok"); }))
         << "an idle connection to the host serves it";
     setrlimit(RLIMIT_NOFILE, &before);
     EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
@@ -281,24 +282,24 @@
     o.listen = "max_connections: 2";
     TestGateway g(o);
     auto a = g.connect(), b = g.connect();
-    g.run([] { return false; }, 30ms);
+    g.run_until([] { return false; }, 30ms);
     auto c = g.connect();
-    EXPECT_TRUE(g.run([&] { return c->over(); }));
-    EXPECT_FALSE(a->over());
-    EXPECT_FALSE(b->over());
+    EXPECT_TRUE(g.run_until([&] { return c->is_closed(); }));
+    EXPECT_FALSE(a->is_closed());
+    EXPECT_FALSE(b->is_closed());
 }
 
 TEST(Hosts, NothingBeginsForAClientThatDisconnectsWhileTheConnectionIsPending) {
-    test_support::LateHost late;
+    test_support::DelayedAcceptHost late;
     Options o;
     o.hosts = 0, o.other_port = late.port(), o.connect_ms = 3000, o.deadline_ms = 3000;
     TestGateway g(o);
     {
         auto c = g.connect();
         c->stream.write(post("/a"));
-        g.pass(50ms);
+        g.run_for(50ms);
     }
-    g.pass(10ms);
+    g.run_for(10ms);
     // One that still waits comes up after a second.
-    EXPECT_FALSE(g.run([&] { return late.bytes() > 0; }, 1500ms));
+    EXPECT_FALSE(g.run_until([&] { return late.received_bytes() > 0; }, 1500ms));
 }
--- a/tests/gateway/http_test.cpp
+++ b/tests/gateway/http_test.cpp
@@ -120,10 +120,10 @@
     auto c = g.connect();
     c->stream.write(
         "POST /a HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-    ASSERT_TRUE(g.run([&] { return has(c->got, "HTTP/1.1 100 Continue\r\n\r\n"); }));
+    ASSERT_TRUE(g.run_until([&] { return has(c->received, "HTTP/1.1 100 Continue\r\n\r\n"); }));
     EXPECT_EQ(g.requests(), 0u);
     c->stream.write("hi");
-    ASSERT_TRUE(g.run([&] { return has(c->got, "200 OK"); }));
+    ASSERT_TRUE(g.run_until([&] { return has(c->received, "200 OK"); }));
     EXPECT_FALSE(has(g.hosts[0]->requests[0], "Expect"));
     EXPECT_EQ(status(g.talk("POST /nowhere HTTP/1.1\r\nHost: h\r\nExpect: "
                             "100-continue\r\nContent-Length: 2\r\n\r\n")),
@@ -203,8 +203,8 @@
         auto c = g.connect();
         c->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
         c->stream.end();
-        g.run([&] { return c->over(); });
-        EXPECT_EQ(status(c->got), waits ? 200 : 0) << c->got;
+        g.run_until([&] { return c->is_closed(); });
+        EXPECT_EQ(status(c->received), waits ? 200 : 0) << c->received;
     }
 }
 
@@ -226,12 +226,12 @@
     auto c = g.connect();
     c->stream.read(false);
     c->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-    EXPECT_TRUE(g.run([&] { return g.hosts[0]->ended > 0; }, 4s))
+    EXPECT_TRUE(g.run_until([&] { return g.hosts[0]->ended > 0; }, 4s))
         << "the host's connection ends with the client's";
     EXPECT_LT(written, size / 2) << "back pressure reached the host";
     c->stream.read(true);
-    g.run([&] { return c->over(); });
-    EXPECT_TRUE(c->broken || c->got.size() < size);
+    g.run_until([&] { return c->is_closed(); });
+    EXPECT_TRUE(c->has_failed || c->received.size() < size);
 }
 
 TEST(Front, TheDescriptionIsReplacedAndABadOneLeavesTheOld) {
@@ -244,13 +244,13 @@
     };
     auto c = g.connect();
     c->stream.write(TestGateway::get("/a"));
-    ASSERT_TRUE(g.run([&] { return held; }));
+    ASSERT_TRUE(g.run_until([&] { return held; }));
     g.describe(
         "openapi: 3.1.0\nx-silverreach-class: read\nx-silverreach-units: 1\npaths: {/new: {get: "
         "{}}}\n");
     EXPECT_TRUE(g.reload());
-    g.run([&] { return c->over(); });
-    EXPECT_EQ(status(c->got), 200) << "in hand, it ends under the one it began with";
+    g.run_until([&] { return c->is_closed(); });
+    EXPECT_EQ(status(c->received), 200) << "in hand, it ends under the one it began with";
     EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 404);
     EXPECT_EQ(status(g.talk(TestGateway::get("/new"))), 200);
     g.describe(
@@ -281,10 +281,10 @@
     auto c = g.connect();
     const std::string one = "GET /mine HTTP/1.1\r\nHost: h\r\nX-Key: k1\r\n";
     c->stream.write(one + "\r\n" + one + "X-Deadline-Ms: 300\r\n\r\n");
-    g.run([&] { return c->got.find("HTTP/1.1 504") != std::string::npos; }, 1500ms);
+    g.run_until([&] { return c->received.find("HTTP/1.1 504") != std::string::npos; }, 1500ms);
     EXPECT_EQ(g.requests(), 1u) << "the second one's time was over when its turn came";
-    EXPECT_TRUE(has(c->got, "HTTP/1.1 200")) << c->got;
-    EXPECT_TRUE(has(c->got, "HTTP/1.1 504")) << c->got;
+    EXPECT_TRUE(has(c->received, "HTTP/1.1 200")) << c->received;
+    EXPECT_TRUE(has(c->received, "HTTP/1.1 504")) << c->received;
 }
 
 TEST(Pipelined, AClientThatGoesBehindManyRequestsIsSeen) {
@@ -303,12 +303,12 @@
     for (int i = 0; i < 300; ++i)
         all += one;
     c->stream.write(all);
-    ASSERT_TRUE(g.run([&] { return begun > 0; }));
-    g.pass(30ms);
+    ASSERT_TRUE(g.run_until([&] { return begun > 0; }));
+    g.run_for(30ms);
     c.reset();
-    g.pass(100ms);
+    g.run_for(100ms);
     const std::size_t before = begun;
-    g.pass(600ms);
+    g.run_for(600ms);
     EXPECT_EQ(begun, before) << "nothing begins for it more than 0.1 s after its close";
 }
 
@@ -327,11 +327,11 @@
     for (int i = 0; i < 120; ++i)
         all += one;
     c->stream.write(all);
-    ASSERT_TRUE(g.run([&] { return asked.size() == 1; }));
-    g.pass(30ms);
+    ASSERT_TRUE(g.run_until([&] { return asked.size() == 1; }));
+    g.run_for(30ms);
     c.reset();
-    g.pass(120ms);
+    g.run_for(120ms);
     asked[0]->stream.reset();  // the attempt may have run, and the request may be repeated
-    g.pass(300ms);
+    g.run_for(300ms);
     EXPECT_EQ(asked.size(), 1u);
 }
--- a/tests/gateway/keys_test.cpp
+++ b/tests/gateway/keys_test.cpp
@@ -8,7 +8,7 @@
 bool eventually(TestGateway& g, const std::function<bool()>& holds) {
     for (int i = 0; i < 100; ++i) {
         if (holds()) return true;
-        g.run([] { return false; }, 30ms);
+        g.run_until([] { return false; }, 30ms);
     }
     return false;
 }
@@ -75,10 +75,10 @@
     keys.make(RevokeKey{std::string(parse_key(key).id), now(), RevocationCause::leaked});
     ASSERT_TRUE(eventually(g, [&] { return status(g.talk(with(key))) == 401; }));
     copy("old-log", "log"), copy("old-mark", "mark");
-    g.run([] { return false; }, 300ms);
+    g.run_until([] { return false; }, 300ms);
     EXPECT_EQ(status(g.talk(with(key))), 401) << "an older one forgets no revocation";
     std::ofstream(keys.folder + "/log") << "rubbish";
     std::ofstream(keys.folder + "/mark") << "rubbish";
-    g.run([] { return false; }, 300ms);
+    g.run_until([] { return false; }, 300ms);
     EXPECT_EQ(status(g.talk(with(key))), 401);
 }
--- a/tests/gateway/rig.h
+++ b/tests/gateway/rig.h
@@ -13,7 +13,7 @@
 
 #include "cli/instance.h"
 #include "fakes/server.h"
-#include "tests/support/loop.h"
+#include "tests/support/loopback.h"
 
 namespace rig {
 using namespace silverreach;
@@ -75,7 +75,7 @@
     int other_port = 0;  // of a host that is not scripted here
 };
 
-class TestGateway : public test_support::OnLoop {
+class TestGateway : public test_support::LoopRunner {
   public:
     explicit TestGateway(const Options& o = {})
         : log_(log::Format::json, log::Level::debug, "/dev/null") {
@@ -150,7 +150,7 @@
     bool reload() {
         bool over = false, good = false;
         instance->reload([&](bool g) { over = true, good = g; });
-        run([&] { return over; });
+        run_until([&] { return over; });
         return good;
     }
     std::unique_ptr<Client> connect() { return std::make_unique<Client>(loop, instance->port()); }
@@ -159,8 +159,8 @@
     std::string talk(const std::string& bytes, std::chrono::milliseconds most = 5s) {
         auto c = connect();
         c->stream.write(bytes);
-        run([&] { return c->over(); }, most);
-        return c->got;
+        run_until([&] { return c->is_closed(); }, most);
+        return c->received;
     }
     static std::string get(const std::string& path, const std::string& fields = "") {
         return "GET " + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + fields + "\r\n";
--- a/tests/node/discovery_watch_test.cpp
+++ b/tests/node/discovery_watch_test.cpp
@@ -10,7 +10,7 @@
 const std::string one =
     R"({"uid":"s-1","endpoint":"127.0.0.1:2","az":"a","model":"m","pod_group":3,"state":"ready","capacity_hint":1,"boot_ms":0})";
 
-struct Watching : test_support::OnLoop {
+struct Watching : test_support::LoopRunner {
     Discovery discovery{loop};
     std::vector<platform::TargetList> lists;
     std::unique_ptr<discovery::DiscoveryWatch> watch;
@@ -32,10 +32,10 @@
         EXPECT_TRUE(requested(1));
     }
     bool requested(std::size_t n) {
-        return run([&] { return discovery.asked.size() == n; }, 2s);
+        return run_until([&] { return discovery.asked.size() == n; }, 2s);
     }
     bool received(std::size_t n) {
-        return run([&] { return lists.size() == n; }, 2s);
+        return run_until([&] { return lists.size() == n; }, 2s);
     }
 };
 const std::string complete_list_request = "GET /v1/endpoints?follow=1 HTTP/1.1";
@@ -73,7 +73,7 @@
         "{\n  \"rev\": 42,\n  \"all\": false,\n  \"targets\": [\n    " + one + "\n  ]\n}\n";
     for (std::size_t i = 0; i < text.size(); i += 7) {
         w.discovery.say(*w.discovery.peers[0], text.substr(i, 7));
-        w.pass(1ms);
+        w.run_for(1ms);
     }
     ASSERT_TRUE(w.received(1));
     EXPECT_EQ(w.lists[0].revision, 42);
@@ -117,14 +117,14 @@
     w.discovery.say(Discovery::list(42, false, one));
     ASSERT_TRUE(w.received(1));
     for (int i = 0; i < 24; ++i) {  // empty lines are activity
-        w.pass(50ms);
+        w.run_for(50ms);
         w.discovery.say("");
     }
     EXPECT_EQ(w.discovery.asked.size(), 1u);
     w.discovery.say(*w.discovery.peers[0], "{\"rev\":43,");
     for (int i = 0; i < 60 && w.discovery.asked.size() == 1; ++i) {
         w.discovery.say(*w.discovery.peers[0], "      ");
-        w.pass(50ms);
+        w.run_for(50ms);
     }
     ASSERT_EQ(w.discovery.asked.size(), 2u);
     EXPECT_EQ(w.discovery.asked[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
--- a/tests/node/endings_test.cpp
+++ b/tests/node/endings_test.cpp
@@ -40,24 +40,25 @@
 }  // namespace
 
 TEST(ClientEnds, AnAttemptWhoseConnectionIsPendingNeverBegins) {
-    LateHost late;
+    DelayedAcceptHost late;
     TestNode n({0, 256, 1000, 64, 3000, target(late)});
     {
         auto c = n.connect();
         c->stream.write(submit(1, "SHEET"));
-        n.pass(50ms);
+        n.run_for(50ms);
     }  // disconnects before the connection is up
-    n.pass(10ms);
-    EXPECT_TRUE(n.run([&] { return late.bytes() > 0 || late.taken() > 0; }, 1800ms))
+    n.run_for(10ms);
+    EXPECT_TRUE(
+        n.run_until([&] { return late.received_bytes() > 0 || late.accepted_count() > 0; }, 1800ms))
         << "it does come up";
-    n.pass(50ms);
-    EXPECT_EQ(late.bytes(), 0u);
+    n.run_for(50ms);
+    EXPECT_EQ(late.received_bytes(), 0u);
 }
 
 TEST(ClientEnds, ARequestWhoseClientDisconnectsInTheSameTurnIsNotForwarded) {
     TestNode n;
     { const event::Fd gone = raw(n, query(1) + query(2)); }
-    n.pass(50ms);
+    n.run_for(50ms);
     EXPECT_EQ(n.commands(), 0u);
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
 }
@@ -71,10 +72,10 @@
         for (int i = 0; i < 100; ++i)
             many += ping();
         c->stream.write(many);
-        ASSERT_TRUE(n.run([&] { return n.commands() == 1; }));
-        n.pass(20ms);
+        ASSERT_TRUE(n.run_until([&] { return n.commands() == 1; }));
+        n.run_for(20ms);
     }
-    n.pass(20ms);
+    n.run_for(20ms);
     n.hosts[0]->respond = [](Accepting::Peer& p, const Words&) { p.stream.write(served("later")); };
     EXPECT_EQ(n.talk(query(1), 5), bulk("later")) << "its id is free again";
 }
@@ -87,34 +88,34 @@
         for (auto& h : n.hosts)
             h->respond = [&](Accepting::Peer& p, const Words&) { host = &p; };
         event::Fd c = raw(n, query(1));
-        ASSERT_TRUE(n.run([&] { return host != nullptr; }));
+        ASSERT_TRUE(n.run_until([&] { return host != nullptr; }));
         if (end_first) c.reset();
         host->stream.write("-ERR failed\r\n");
         c.reset();
-        n.pass(100ms);
+        n.run_for(100ms);
         EXPECT_EQ(n.commands(), 1u) << end_first;
     }
 }
 
 TEST(HostDrains, UnsentAttemptsMoveToAnotherHostAtOnce) {
-    LateHost late;
+    DelayedAcceptHost late;
     TestNode n({0, 256, 1000, 64, 5000, target(late)});
-    ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
+    ASSERT_TRUE(n.run_until([&] { return n.discovery->asked.size() == 1; }));
     auto c = n.connect();
     c->stream.write(submit(1, "SHEET"));
-    n.pass(50ms);
+    n.run_for(50ms);
     Host other(n.loop);
     n.discovery->say(
         Discovery::list(42, false, target(late, "draining") + "," + other.target("s-2")));
-    EXPECT_TRUE(n.run([&] { return c->got == answer(1); }, 1s)) << c->got;
+    EXPECT_TRUE(n.run_until([&] { return c->received == answer(1); }, 1s)) << c->received;
     EXPECT_EQ(other.commands.size(), 1u);
-    EXPECT_EQ(late.bytes(), 0u);
+    EXPECT_EQ(late.received_bytes(), 0u);
 }
 
 TEST(Endings, AnErrorLineReachesAClientWhoseBytesWereNotAllRead) {
     TestNode n;
     const event::Fd c = raw(n, "*x\r\n" + std::string(100'000, 'x'));
-    n.pass(50ms);
+    n.run_for(50ms);
     bool reset = false;
     EXPECT_EQ(receive_all(c.get(), reset),
               "-ERR Protocol error: expected an array of bulk strings\r\n");
@@ -124,11 +125,11 @@
 TEST(Endings, BytesAfterTheGatewaysEndAreReadAndNeverForwarded) {
     TestNode n;
     const event::Fd c = raw(n, "*x\r\n");
-    n.pass(20ms);
+    n.run_for(20ms);
     const std::string late = query(1);
     EXPECT_EQ(::send(c.get(), late.data(), late.size(), MSG_NOSIGNAL),
               static_cast<ssize_t>(late.size()));
-    n.pass(20ms);
+    n.run_for(20ms);
     bool reset = false;
     EXPECT_EQ(receive_all(c.get(), reset),
               "-ERR Protocol error: expected an array of bulk strings\r\n");
@@ -140,7 +141,7 @@
     TestNode n;
     auto c = n.connect();
     c->stream.write("*x\r\n" + std::string(8'000'000, 'x'));
-    EXPECT_TRUE(n.run([&] { return c->broken; }, 4s)) << "it is not read without limit";
+    EXPECT_TRUE(n.run_until([&] { return c->has_failed; }, 4s)) << "it is not read without limit";
 }
 
 TEST(Endings, LingeringClientsDoNotKeepOthersOut) {
@@ -148,7 +149,7 @@
     std::vector<event::Fd> stay;
     for (int i = 0; i < 60; ++i) {
         stay.push_back(raw(n, "*x\r\n"));
-        n.pass(2ms);
+        n.run_for(2ms);
     }
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
 }
@@ -161,7 +162,7 @@
     OneInFlight() {
         hosts[0]->respond = [this](Accepting::Peer& p, const Words&) { host = &p; };
         client->stream.write(submit(1, "SHEET"));
-        EXPECT_TRUE(run([this] { return host != nullptr; }));
+        EXPECT_TRUE(run_until([this] { return host != nullptr; }));
     }
 };
 }  // namespace
@@ -171,25 +172,25 @@
     ASSERT_TRUE(n.host);
     bool done = false;
     n.node->drain(0ms, 100ms, [&] { done = true; });
-    n.pass(250ms);
+    n.run_for(250ms);
     EXPECT_FALSE(done) << "its response is still due";
     n.host->stream.write(served("for " + hex(1)));
-    EXPECT_TRUE(n.run([&] { return done; }, 2s));
-    EXPECT_EQ(n.client->got, answer(1));
+    EXPECT_TRUE(n.run_until([&] { return done; }, 2s));
+    EXPECT_EQ(n.client->received, answer(1));
 }
 
 TEST(DrainEnds, LateRequestsAreAnsweredBeforeItsEnd) {
     OneInFlight n;
     ASSERT_TRUE(n.host);
     n.node->drain(0ms, 400ms, [] {});
-    n.pass(50ms);
+    n.run_for(50ms);
     n.hosts[0]->respond = [](Accepting::Peer&, const Words&) {};
     n.client->stream.write(submit(2, "SHEET") + ping());
-    n.pass(20ms);
+    n.run_for(20ms);
     n.host->stream.write(served("for " + hex(1)));
-    ASSERT_TRUE(n.run([&] { return n.client->got.ends_with(pong); }, 1s))
+    ASSERT_TRUE(n.run_until([&] { return n.client->received.ends_with(pong); }, 1s))
         << "long before its own time";
-    EXPECT_TRUE(n.client->got.starts_with(answer(1) + "-")) << n.client->got;
+    EXPECT_TRUE(n.client->received.starts_with(answer(1) + "-")) << n.client->received;
 }
 
 TEST(DrainEnds, AClientThatKeepsSendingIsClosedToo) {
@@ -198,9 +199,9 @@
     bool done = false;
     n.node->drain(0ms, 300ms, [&] { done = true; });
     int sent = 0;
-    EXPECT_TRUE(n.run(
+    EXPECT_TRUE(n.run_until(
         [&] {
-            if (!c->over())
+            if (!c->is_closed())
                 c->stream.write(ping()), ++sent;
             else
                 c->stream.close();
@@ -224,7 +225,7 @@
 }  // namespace
 
 TEST(HostEnds, ANonIdempotentRequestReusesNoConnectionIdleForLong) {
-    test_support::OnLoop on;
+    test_support::LoopRunner on;
     Host host(on.loop);
     RecordedEnds ends;
     upstream_resp::UpstreamLimits limits;
@@ -239,21 +240,21 @@
         command->list_before_deadline = "c=sell,d=", command->is_idempotent = repeatable;
         ends.outcomes.clear();
         up.send({id, 0}, "s-1", command);
-        EXPECT_TRUE(on.run([&] { return !ends.outcomes.empty(); }, 1s));
+        EXPECT_TRUE(on.run_until([&] { return !ends.outcomes.empty(); }, 1s));
         EXPECT_EQ(ends.outcomes, std::vector<Outcome>{Outcome::success});
         return host.peers.size();
     };
     EXPECT_EQ(send(1, false), 1u);
     EXPECT_EQ(send(2, false), 1u) << "used a moment ago";
-    on.pass(400ms);
+    on.run_for(400ms);
     EXPECT_EQ(send(3, false), 2u) << "idle for longer than the limit";
-    on.pass(400ms);
+    on.run_for(400ms);
     EXPECT_EQ(send(4, true), 2u) << "an idempotent one reuses it";
 }
 
 TEST(HostEnds, APendingConnectionServesTheNextAttempt) {
-    LateHost late;
-    test_support::OnLoop on;
+    DelayedAcceptHost late;
+    test_support::LoopRunner on;
     RecordedEnds ends;
     upstream_resp::UpstreamLimits limits;
     limits.connect_timeout = 50ms;
@@ -262,20 +263,21 @@
     auto command = std::make_shared<platform::UpstreamCommand>();
     command->prefix = "*1\r\n$4\r\nPING\r\n";
     up.send({1, 0}, "s-1", command);
-    ASSERT_TRUE(on.run([&] { return ends.outcomes.size() == 1; }, 1s));
+    ASSERT_TRUE(on.run_until([&] { return ends.outcomes.size() == 1; }, 1s));
     EXPECT_EQ(ends.outcomes[0], Outcome::connect_failed);
-    ASSERT_TRUE(on.run([&] { return late.bytes() > 0 || late.taken() > 0; }, 1800ms))
+    ASSERT_TRUE(on.run_until([&] { return late.received_bytes() > 0 || late.accepted_count() > 0; },
+                             1800ms))
         << "it comes up";
-    on.pass(20ms);
+    on.run_for(20ms);
     up.send({2, 0}, "s-1", command);
-    EXPECT_TRUE(on.run([&] { return late.bytes() > 0; }, 1s))
+    EXPECT_TRUE(on.run_until([&] { return late.received_bytes() > 0; }, 1s))
         << "at once, on the pending connection";
     EXPECT_EQ(up.stats().connections.opened, 1u);
 }
 
 TEST(HostEnds, AtTheConnectionLimitAnAttemptEndsAsNotStarted) {
-    LateHost late;
-    test_support::OnLoop on;
+    DelayedAcceptHost late;
+    test_support::LoopRunner on;
     RecordedEnds ends;
     upstream_resp::UpstreamLimits limits;
     limits.max_connections = 1;
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -41,12 +41,12 @@
         h->respond = [&](Accepting::Peer& p, const Words& w) { waiting.emplace_back(&p, w); };
     auto c = n.connect();
     c->stream.write(query(1) + ping() + query(2) + "*1\r\n$4\r\nNOPE\r\n" + query(3));
-    ASSERT_TRUE(n.run([&] { return waiting.size() == 3; }));
+    ASSERT_TRUE(n.run_until([&] { return waiting.size() == 3; }));
     for (std::size_t i = 3; i-- > 0;) {  // the last first
         waiting[i].first->stream.write(served("for " + waiting[i].second[2]));
-        n.pass(20ms);
+        n.run_for(20ms);
     }
-    EXPECT_EQ(c->got, answer(1) + pong + answer(2) + "-ERR unknown command\r\n" + answer(3));
+    EXPECT_EQ(c->received, answer(1) + pong + answer(2) + "-ERR unknown command\r\n" + answer(3));
 }
 
 TEST(Node, NonsenseGetsAnErrorLineAndNothingOfItGoesOn) {
@@ -68,11 +68,11 @@
     n.hosts[0]->respond = [&](Accepting::Peer& p, const Words&) { open = &p; };
     auto first = n.connect();
     first->stream.write(query(1));
-    ASSERT_TRUE(n.run([&] { return open != nullptr; }));
+    ASSERT_TRUE(n.run_until([&] { return open != nullptr; }));
     EXPECT_TRUE(n.talk(query(1), 10).starts_with("-ERR id"));
     open->stream.write(served("mine"));
-    ASSERT_TRUE(n.run([&] { return !first->got.empty(); }));
-    EXPECT_EQ(first->got, bulk("mine"));
+    ASSERT_TRUE(n.run_until([&] { return !first->received.empty(); }));
+    EXPECT_EQ(first->received, bulk("mine"));
     EXPECT_EQ(n.commands(), 1u);
 }
 
@@ -84,13 +84,15 @@
           std::string(100, '\xff')}) {
         auto c = n.connect();
         c->stream.write(bad);
-        EXPECT_TRUE(n.run([&] { return c->over(); }, 1s)) << bad;
-        EXPECT_TRUE(c->got.empty() || c->got.starts_with("-ERR Protocol error")) << c->got;
+        EXPECT_TRUE(n.run_until([&] { return c->is_closed(); }, 1s)) << bad;
+        EXPECT_TRUE(c->received.empty() || c->received.starts_with("-ERR Protocol error"))
+            << c->received;
     }
     auto c = n.connect();
     c->stream.write(query(1) + "*x\r\n");
-    EXPECT_TRUE(n.run([&] { return c->over(); }, 1s));
-    EXPECT_EQ(c->got, answer(1) + "-ERR Protocol error: expected an array of bulk strings\r\n");
+    EXPECT_TRUE(n.run_until([&] { return c->is_closed(); }, 1s));
+    EXPECT_EQ(c->received,
+              answer(1) + "-ERR Protocol error: expected an array of bulk strings\r\n");
 }
 
 TEST(Node, SilentAndHalfSentConnectionsEndInTime) {
@@ -98,8 +100,8 @@
     auto silent = n.connect(), half = n.connect(), used = n.connect();
     half->stream.write(query(1).substr(0, 40));
     used->stream.write(ping());
-    EXPECT_TRUE(n.run([&] { return silent->over() && half->over(); }, 2900ms));
-    EXPECT_FALSE(used->over()) << "one that has been in use may idle longer";
+    EXPECT_TRUE(n.run_until([&] { return silent->is_closed() && half->is_closed(); }, 2900ms));
+    EXPECT_FALSE(used->is_closed()) << "one that has been in use may idle longer";
     EXPECT_EQ(n.commands(), 0u);
 }
 
@@ -110,8 +112,9 @@
     for (int i = 0; i < 400; ++i)
         many += "*1\r\n$4\r\nNOPE\r\n";
     rude->stream.write(many);
-    n.pass(300ms);
-    const auto lines = static_cast<int>(std::count(rude->got.begin(), rude->got.end(), '\n'));
+    n.run_for(300ms);
+    const auto lines =
+        static_cast<int>(std::count(rude->received.begin(), rude->received.end(), '\n'));
     EXPECT_GE(lines, 8);
     EXPECT_LT(lines, 40);
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
@@ -122,7 +125,7 @@
     std::vector<std::unique_ptr<Client>> silent;
     for (int i = 0; i < 150; ++i)
         silent.push_back(n.connect());
-    n.pass(50ms);
+    n.run_for(50ms);
     EXPECT_EQ(n.talk(query(1), answer(1).size(), 1s), answer(1));
     EXPECT_EQ(n.talk(query(2), answer(2).size(), 1s), answer(2));
 }
@@ -143,7 +146,7 @@
         if (!many.back()) break;
     }
     EXPECT_FALSE(many.back()) << "they have run out";
-    n.pass(150ms);
+    n.run_for(150ms);
     many.clear();
     EXPECT_EQ(setrlimit(RLIMIT_NOFILE, &old), 0);
     EXPECT_EQ(n.talk(query(2), answer(2).size()), answer(2));
@@ -155,7 +158,7 @@
         ASSERT_EQ(n.talk(query(i, "c=lookup,t=team,d=1500,units=1,spread=1,first=0", hex(5000 + i)),
                          answer(i).size()),
                   answer(i));
-    n.pass(20ms);
+    n.run_for(20ms);
     std::size_t open = 0;
     for (auto& h : n.hosts)
         for (auto& p : h->peers)
@@ -250,7 +253,7 @@
         n.loop.after(20ms, [&p] { p.stream.write("noise"); });
     };
     EXPECT_EQ(n.talk(query(3), answer(3).size()), answer(3));
-    n.pass(50ms);
+    n.run_for(50ms);
     EXPECT_EQ(n.talk(query(4), answer(4).size()), answer(4));
     EXPECT_EQ(n.hosts[0]->peers.size(), 4u);
 }
@@ -299,28 +302,28 @@
     {
         auto c = n.connect();
         c->stream.write(query(1));
-        ASSERT_TRUE(n.run([&] { return n.commands() == 1; }));
+        ASSERT_TRUE(n.run_until([&] { return n.commands() == 1; }));
     }
-    n.pass(20ms);
+    n.run_for(20ms);
     n.hosts[0]->respond = [](Accepting::Peer& p, const Words&) { p.stream.write(served("later")); };
     EXPECT_EQ(n.talk(query(1), 5), bulk("later")) << "its id is free again";
 }
 
 TEST(NodeDiscovery, AUidIsItsOwnHostWhateverAddressItHas) {
     TestNode n;
-    ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
+    ASSERT_TRUE(n.run_until([&] { return n.discovery->asked.size() == 1; }));
     EXPECT_EQ(n.discovery->asked[0], "GET /v1/endpoints?follow=1&since=41 HTTP/1.1");
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
     // Another uid at the same address: the old one's connections are not carried over.
     n.discovery->say(
         Discovery::list(42, false, R"({"uid":"s-1","state":"gone"},)" + n.hosts[0]->target("s-9")));
-    n.pass(30ms);
+    n.run_for(30ms);
     EXPECT_EQ(n.hosts[0]->ended, 1);
     EXPECT_EQ(n.talk(query(2), answer(2).size()), answer(2));
     // The same uid at another address.
     Host moved(n.loop);
     n.discovery->say(Discovery::list(43, false, moved.target("s-9")));
-    n.pass(30ms);
+    n.run_for(30ms);
     EXPECT_EQ(n.talk(query(3), answer(3).size()), answer(3));
     EXPECT_EQ(moved.commands.size(), 1u);
     EXPECT_EQ(n.commands(), 2u);
@@ -328,9 +331,9 @@
 
 TEST(NodeDiscovery, ADrainingHostGetsNothingNew) {
     TestNode n({2});
-    ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
+    ASSERT_TRUE(n.run_until([&] { return n.discovery->asked.size() == 1; }));
     n.discovery->say(Discovery::list(42, false, n.hosts[0]->target("s-1", "draining", 0)));
-    n.pass(30ms);
+    n.run_for(30ms);
     for (std::uint64_t i = 1; i <= 20; ++i)
         EXPECT_EQ(n.talk(query(i), answer(i).size()), answer(i));
     EXPECT_EQ(n.hosts[0]->commands.size(), 0u);
@@ -338,43 +341,43 @@
 
 TEST(NodeDiscovery, ALineThatCannotBeReadChangesNothingAndTheWholeListIsAskedFor) {
     TestNode n;
-    ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
+    ASSERT_TRUE(n.run_until([&] { return n.discovery->asked.size() == 1; }));
     n.discovery->say(R"({"rev":42,"all":true,"targets":[{"uid":"s-)");
-    EXPECT_TRUE(n.run([&] { return n.discovery->asked.size() == 2; }, 1s));
+    EXPECT_TRUE(n.run_until([&] { return n.discovery->asked.size() == 2; }, 1s));
     EXPECT_EQ(n.discovery->asked[1], "GET /v1/endpoints?follow=1 HTTP/1.1");
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
 }
 
 TEST(NodeDiscovery, ANewConfigurationIsFollowedAndTheOldListUsedMeanwhile) {
     TestNode n;
-    ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
+    ASSERT_TRUE(n.run_until([&] { return n.discovery->asked.size() == 1; }));
     Discovery other(n.loop);
     Host moved(n.loop);
     n.node->reload(TestNode::config(other.address(), moved.target("s-9")));
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
-    ASSERT_TRUE(n.run([&] { return other.asked.size() == 1; }));
+    ASSERT_TRUE(n.run_until([&] { return other.asked.size() == 1; }));
     EXPECT_EQ(other.asked[0], "GET /v1/endpoints?follow=1 HTTP/1.1") << "its revisions are its own";
     other.say(Discovery::list(3, true, moved.target("s-9")));
-    n.pass(30ms);
+    n.run_for(30ms);
     EXPECT_EQ(n.talk(query(2), answer(2).size()), answer(2));
     EXPECT_EQ(moved.commands.size(), 1u);
     n.node->reload(TestNode::config(other.address(), ""));  // the same again: nothing happens
-    n.pass(30ms);
+    n.run_for(30ms);
     EXPECT_EQ(other.asked.size(), 1u);
 }
 
 TEST(NodeDiscovery, HostsThatComeAndGoLeaveNothingBehind) {
     TestNode n;
-    ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
+    ASSERT_TRUE(n.run_until([&] { return n.discovery->asked.size() == 1; }));
     for (int i = 0; i < 50; ++i) {
         n.discovery->say(
             Discovery::list(42 + i, true, n.hosts[0]->target("s-" + std::to_string(100 + i))));
-        n.pass(3ms);
+        n.run_for(3ms);
         const auto id = static_cast<std::uint64_t>(i + 1);
         ASSERT_EQ(n.talk(query(id, "c=lookup,t=team,d=1500", hex(1000 + id)), answer(id).size()),
                   answer(id));
     }
-    n.pass(600ms);
+    n.run_for(600ms);
     EXPECT_EQ(n.hosts[0]->ended, 49) << "one connection is left, to the latest";
 }
 
@@ -383,20 +386,20 @@
     std::vector<std::pair<Accepting::Peer*, Words>> waiting;
     auto idle = n.connect(), busy = n.connect();
     idle->stream.write(ping());
-    ASSERT_TRUE(n.run([&] { return idle->got == pong; }));
+    ASSERT_TRUE(n.run_until([&] { return idle->received == pong; }));
     bool done = false;
     n.node->drain(100ms, 2s, [&] { done = true; });
     n.node->drain(0ms, 0s, [&] { ADD_FAILURE() << "a second signal changes nothing"; });
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1)) << "a new connection is still served";
     n.hosts[0]->respond = [&](Accepting::Peer& p, const Words& w) { waiting.emplace_back(&p, w); };
     busy->stream.write(query(2));
-    ASSERT_TRUE(n.run([&] { return waiting.size() == 1; }));
-    EXPECT_TRUE(n.run([&] { return idle->over(); }, 500ms));
+    ASSERT_TRUE(n.run_until([&] { return waiting.size() == 1; }));
+    EXPECT_TRUE(n.run_until([&] { return idle->is_closed(); }, 500ms));
     EXPECT_FALSE(done);
     waiting[0].first->stream.write(served("for " + hex(2)));
-    EXPECT_TRUE(n.run([&] { return done; }, 1s));
-    n.run([&] { return busy->over(); }, 100ms);
-    EXPECT_EQ(busy->got, answer(2));
+    EXPECT_TRUE(n.run_until([&] { return done; }, 1s));
+    n.run_until([&] { return busy->is_closed(); }, 100ms);
+    EXPECT_EQ(busy->received, answer(2));
 }
 
 TEST(NodeDrain, WhatTheSystemHasAcceptedIsStillAnswered) {
@@ -412,10 +415,10 @@
     }
     bool done = false;
     n.node->drain(0ms, 2s, [&] { done = true; });
-    EXPECT_TRUE(n.run([&] { return done; }));
-    n.pass(20ms);
+    EXPECT_TRUE(n.run_until([&] { return done; }));
+    n.run_for(20ms);
     for (std::uint64_t i = 0; i < 5; ++i)
-        EXPECT_EQ(waiting[i]->got, answer(i + 1));
+        EXPECT_EQ(waiting[i]->received, answer(i + 1));
 }
 
 TEST(NodeDrain, HoweverManyTheSystemHasAccepted) {
@@ -429,10 +432,10 @@
     // Before the loop has taken any of them.
     bool done = false;
     n.node->drain(0ms, 2s, [&] { done = true; });
-    EXPECT_TRUE(n.run([&] { return done; }));
-    n.pass(20ms);
+    EXPECT_TRUE(n.run_until([&] { return done; }));
+    n.run_for(20ms);
     for (const auto& c : waiting)
-        EXPECT_EQ(c->got, pong);
+        EXPECT_EQ(c->received, pong);
 }
 
 TEST(RawTransport, PayloadsAreSentUnchangedAndUnknownSendersAreDropped) {
--- a/tests/node/rig.h
+++ b/tests/node/rig.h
@@ -14,14 +14,14 @@
 #include "resp/command_parser.h"
 #include "resp/serializer.h"
 #include "tests/node/settings.h"
-#include "tests/support/late_host.h"
-#include "tests/support/loop.h"
+#include "tests/support/delayed_accept_host.h"
+#include "tests/support/loopback.h"
 
 namespace node_test {
 using namespace silverreach;
 using namespace std::chrono_literals;
 using test_support::Client;
-using test_support::LateHost;
+using test_support::DelayedAcceptHost;
 
 // Accepts connections and hands what comes on each to the test.
 struct Accepting {
@@ -91,7 +91,7 @@
     }
 };
 
-inline std::string target(const LateHost& host, const std::string& state = "ready") {
+inline std::string target(const DelayedAcceptHost& host, const std::string& state = "ready") {
     return R"({"uid":"s-1","endpoint":"127.0.0.1:)" + std::to_string(host.port()) +
            R"(","az":"a","model":"m","pod_group":3,"state":")" + state +
            R"(","capacity_hint":1,"boot_ms":0})";
@@ -167,7 +167,7 @@
     std::string more_targets = {};
 };
 
-class TestNode : public test_support::OnLoop {
+class TestNode : public test_support::LoopRunner {
   public:
     explicit TestNode(const Options& o = {})
         : log_(log::Format::json, log::Level::debug, "/dev/null") {
@@ -197,8 +197,8 @@
                      std::chrono::milliseconds most = 5s) {
         auto c = connect();
         c->stream.write(bytes);
-        run([&] { return c->over() || c->got.size() >= size; }, most);
-        return c->got;
+        run_until([&] { return c->is_closed() || c->received.size() >= size; }, most);
+        return c->received;
     }
     std::size_t commands() const {
         std::size_t n = 0;
--- a/tests/soak/troubles.cpp
+++ b/tests/soak/troubles.cpp
@@ -11,10 +11,10 @@
 namespace soak {
 namespace {
 using namespace std::chrono_literals;
-using faults::Call;
+using faults::SystemCall;
 
 struct Fault {
-    Call call;
+    SystemCall call;
     int error;
     int per_mille;
     std::chrono::milliseconds span;
@@ -106,14 +106,14 @@
         // A load balancer sees the end after a while.
         later(300ms, [gateway] { gateway->ready = false; });
         later(in_order ? 2700ms : 50ms, [this, gateway, number] {
-            const auto status = gateway->process->ended();
+            const auto status = gateway->process->exit_status();
             if (status && gateway->terminated != 0us && *status != 0)
                 world_.ledger.violation(
                     world_.now(), Breach::crash,
                     fmt::format("{} ended with status {} after SIGTERM", gateway->name, *status));
             if (!status) {
                 gateway->process->signal(SIGKILL);
-                gateway->process->wait_for_end();
+                gateway->process->wait_for_exit();
             }
             // The clients see the end of its connections before the next life begins.
             later(100ms, [this, number] { world_.start_gateway(number); });
@@ -151,9 +151,9 @@
         auto& table = gateway->process->faults;
         table.fail(fault.call, fault.error, faults::unlimited, fault.span, fault.per_mille);
         if (world_.uniform() < 0.3) {
-            table->short_bytes = 1 + world_.below(30);
-            table->short_per_mille = 200;
-            later(800ms, [gateway] { gateway->process->faults->short_per_mille = 0; });
+            table->short_io_max_bytes = 1 + world_.below(30);
+            table->short_io_per_mille = 200;
+            later(800ms, [gateway] { gateway->process->faults->short_io_per_mille = 0; });
         }
     }
     void step_clock() {
@@ -163,7 +163,7 @@
         const std::int64_t by =
             (world_.uniform() < 0.5 ? 1 : -1) * (world_.uniform() < 0.5 ? 3600 : 5);
         told(fmt::format("{} wall clock {} s", gateway->name, by));
-        gateway->process->faults->wall_step_us = by * 1'000'000;
+        gateway->process->faults->wall_clock_offset_us = by * 1'000'000;
     }
     void host_mode() {
         Host& host = *world_.hosts[static_cast<std::size_t>(world_.below(world_.size.hosts))];
--- a/tests/soak/world.cpp
+++ b/tests/soak/world.cpp
@@ -363,9 +363,9 @@
         stream_->close();
         const Gateway& gateway = world_.gateways[index()];
         const Micros now = world_.now();
-        const bool killed =
-            gateway.starts != starts_ ||
-            (gateway.expected_down && (gateway.terminated == 0us || gateway.process->ended()));
+        const bool killed = gateway.starts != starts_ ||
+                            (gateway.expected_down &&
+                             (gateway.terminated == 0us || gateway.process->exit_status()));
         std::deque<Open> once_more;
         for (Open& open : open_) {
             const bool was_read = world_.ledger.attempted(open.id);
@@ -505,7 +505,7 @@
 void World::watch_processes() {
     for (Gateway& gateway : gateways) {
         if (!gateway.expected_down) {
-            if (const auto status = gateway.process->ended()) {
+            if (const auto status = gateway.process->exit_status()) {
                 ledger.violation(now(), Breach::crash,
                                  gateway.name + " ended with status " + std::to_string(*status) +
                                      "; " + gateway.process->log().substr(0, 300));
--- a/tests/upstream/common/connection_pool_test.cpp
+++ b/tests/upstream/common/connection_pool_test.cpp
@@ -6,7 +6,7 @@
 #include <unistd.h>
 
 #include "event/listener.h"
-#include "tests/support/loop.h"
+#include "tests/support/loopback.h"
 
 using namespace silverreach;
 using namespace silverreach::upstream;
@@ -43,7 +43,7 @@
     }
 };
 
-struct ConnectionPoolTest : test_support::OnLoop, testing::Test {
+struct ConnectionPoolTest : test_support::LoopRunner, testing::Test {
     FakeHost host{loop};
     PoolPolicy policy;
     std::unique_ptr<ConnectionPool> pool;
@@ -69,7 +69,7 @@
     FakeConnection* begin(const std::string& name) {
         FakeConnection* connection = acquire(name);
         connection->begin();
-        EXPECT_TRUE(run([&] { return connection->connected(); }));
+        EXPECT_TRUE(run_until([&] { return connection->connected(); }));
         return connection;
     }
     void end(FakeConnection* connection, bool reusable = true) const {
@@ -89,10 +89,10 @@
     EXPECT_EQ(connection->state(), State::pending);
     connection->begin();
     EXPECT_EQ(connection->state(), State::connecting);
-    ASSERT_TRUE(run([&] { return connection->state() == State::awaiting_response; }));
-    ASSERT_TRUE(run([&] { return !host.accepted.empty(); }));
+    ASSERT_TRUE(run_until([&] { return connection->state() == State::awaiting_response; }));
+    ASSERT_TRUE(run_until([&] { return !host.accepted.empty(); }));
     ASSERT_EQ(::write(host.accepted[0].get(), "x", 1), 1);
-    ASSERT_TRUE(run([&] { return connection->state() == State::receiving_body; }));
+    ASSERT_TRUE(run_until([&] { return connection->state() == State::receiving_body; }));
     end(connection);
     EXPECT_EQ(connection->state(), State::idle);
     connection->retire();
@@ -126,7 +126,7 @@
     FakeConnection* older = begin("a");
     FakeConnection* newer = begin("b");
     end(older);
-    pass(5ms);
+    run_for(5ms);
     end(newer);
     EXPECT_TRUE(acquire("c"));
     EXPECT_EQ(older->state(), State::closed);
@@ -153,15 +153,15 @@
     EXPECT_EQ(pool->stats().hosts, 3u);
     end(in_use);
     EXPECT_EQ(pool->stats().open, 0u) << "closed with its exchange";
-    EXPECT_TRUE(run([&] { return pool->stats().hosts == 1; })) << "the host is forgotten";
+    EXPECT_TRUE(run_until([&] { return pool->stats().hosts == 1; })) << "the host is forgotten";
 }
 
 TEST_F(ConnectionPoolTest, IdleConnectionsAreClosedAtTheirTimeout) {
     policy.idle_timeout = 50ms;
     start();
     end(begin("a"));
-    EXPECT_FALSE(run([&] { return pool->stats().open == 0; }, 30ms));
-    EXPECT_TRUE(run([&] { return pool->stats().open == 0; }, 1s));
+    EXPECT_FALSE(run_until([&] { return pool->stats().open == 0; }, 30ms));
+    EXPECT_TRUE(run_until([&] { return pool->stats().open == 0; }, 1s));
 }
 
 TEST_F(ConnectionPoolTest, NonIdempotentRequestsReuseOnlyRecentConnections) {
@@ -169,7 +169,7 @@
     start();
     FakeConnection* rested = begin("a");
     end(rested);
-    pass(30ms);
+    run_for(30ms);
     EXPECT_NE(acquire("a", {.idempotent = false}), rested);
     EXPECT_EQ(acquire("a"), rested);
 }
@@ -177,9 +177,9 @@
 TEST_F(ConnectionPoolTest, ConnectionsClosedByTheirHostAreDropped) {
     start();
     end(begin("a"));
-    ASSERT_TRUE(run([&] { return host.accepted.size() == 1; }));
+    ASSERT_TRUE(run_until([&] { return host.accepted.size() == 1; }));
     host.accepted.clear();
-    EXPECT_TRUE(run([&] { return pool->stats().open == 0; }));
+    EXPECT_TRUE(run_until([&] { return pool->stats().open == 0; }));
     EXPECT_EQ(pool->stats().stale, 1u);
 }
 
@@ -194,6 +194,6 @@
     end(dropped);
     EXPECT_EQ(kept->state(), State::pending);
     EXPECT_EQ(dropped->state(), State::closed);
-    ASSERT_TRUE(run([&] { return kept->state() == State::idle; }));
+    ASSERT_TRUE(run_until([&] { return kept->state() == State::idle; }));
     EXPECT_EQ(acquire("a"), kept);
 }
