--- a/tests/faults/deadline_test.cpp
+++ b/tests/faults/deadline_test.cpp
@@ -1,129 +1,139 @@
-// Deadlines passed to hosts: at most what the client has left, wherever the time was spent.
-#include "tests/faults/rig.h"
+// Guards against deadlines passed to hosts that exceed the time the client has left. The time may
+// be spent in the client's queue, while a host connection is pending, or while the process is
+// stopped.
+#include "tests/faults/fault_node.h"
 
 using namespace fault_test;
 
 namespace {
-constexpr auto slack = 150ms;
-struct Begun {
-    Micros after{0};  // the client's write
-    Micros told{0};
+constexpr auto tolerance = 150ms;
+struct ReceivedAttempt {
+    Micros elapsed{0};  // since the client's write
+    Micros passed_deadline{0};
 };
-std::string patient(std::string config) {
+std::string with_long_promise(std::string config) {
     return replace_once(std::move(config), "\"promiseUs\":600000", "\"promiseUs\":1950000");
 }
 }  // namespace
 
-TEST(Deadline, CommandsBehindAQueueKeepOnlyWhatTheirClientHasLeft) {
-    FaultNode n(2, patient);
-    std::vector<Begun> begun;
-    Micros written{0};
-    for (auto& h : n.hosts)
-        h->respond = [&](Accepting::Peer& p, const Words& w) {
-            begun.push_back(
-                {event::Loop::clock() - written, std::chrono::milliseconds(figure(w, "d"))});
-            n.loop.after(300ms, [&p, value = "for " + w[2]] {
-                if (!p.over) p.stream.write(served(value));
+TEST(Deadline, QueuedCommandsPassOnlyTheRemainingTime) {
+    FaultNode node(2, with_long_promise);
+    std::vector<ReceivedAttempt> attempts;
+    Micros written_at{0};
+    for (auto& host : node.hosts)
+        host->respond = [&](Accepting::Peer& peer, const Words& words) {
+            attempts.push_back({event::Loop::clock() - written_at,
+                                std::chrono::milliseconds(list_value(words, "d"))});
+            node.loop.after(300ms, [&peer, value = "for " + words[2]] {
+                if (!peer.over) peer.stream.write(served(value));
             });
         };
-    ASSERT_TRUE(n.start());
-    auto c = n.connect();
-    std::string all;
-    constexpr int commands = 400;
-    for (int i = 1; i <= commands; ++i)
-        all +=
+    ASSERT_TRUE(node.start());
+    auto client = node.connect();
+    std::string requests;
+    constexpr int request_count = 400;
+    for (int i = 1; i <= request_count; ++i)
+        requests +=
             query(static_cast<std::uint64_t>(i), "c=lookup,t=team,d=1500,units=1,spread=1,first=0");
-    written = event::Loop::clock();
-    c->stream.write(all);
-    EXPECT_TRUE(n.run_until([&] { return replies(c->received).size() == commands; }, 8s))
-        << replies(c->received).size();
-    EXPECT_GE(begun.size(), 4u);
-    for (const Begun& b : begun) {
-        EXPECT_LE(b.after.count(), Micros(1500ms).count())
-            << "begun for a client whose time is over";
-        EXPECT_LE((b.told + b.after).count(), Micros(1500ms + slack).count()) << "told too much";
+    written_at = event::Loop::clock();
+    client->stream.write(requests);
+    EXPECT_TRUE(
+        node.run_until([&] { return replies(client->received).size() == request_count; }, 8s))
+        << replies(client->received).size();
+    EXPECT_GE(attempts.size(), 4u);
+    for (const ReceivedAttempt& attempt : attempts) {
+        EXPECT_LE(attempt.elapsed.count(), Micros(1500ms).count())
+            << "attempt after the client's deadline";
+        EXPECT_LE((attempt.passed_deadline + attempt.elapsed).count(),
+                  Micros(1500ms + tolerance).count())
+            << "the passed deadline is too long";
     }
 }
 
-TEST(Deadline, AConnectionThatComesUpLateIsToldWhatIsLeft) {
-    DelayedAcceptHost late;
-    FaultNode n(
+TEST(Deadline, DelayedHostConnectionGetsTheRemainingTime) {
+    DelayedAcceptHost delayed_host;
+    FaultNode node(
         0,
         [](std::string config) {
-            return replace_once(patient(std::move(config)), "\"connectTimeoutUs\":250000",
+            return replace_once(with_long_promise(std::move(config)), "\"connectTimeoutUs\":250000",
                                 "\"connectTimeoutUs\":3000000");
         },
-        target(late));
-    ASSERT_TRUE(n.start());
-    auto c = n.connect();
-    const Micros written = event::Loop::clock();
-    c->stream.write(query(1, "c=lookup,t=team,d=1900,units=1,spread=1,first=0"));
-    n.run_for(50ms);
-    ASSERT_TRUE(n.run_until([&] { return late.received_bytes() > 0; }, 2500ms));
-    const Micros after = event::Loop::clock() - written;
-    EXPECT_GT(after.count(), Micros(500ms).count()) << "it was not late";
-    resp::CommandParser reader;
-    ASSERT_EQ(reader.parse(late.received_text()), resp::ParseStatus::complete);
-    const Words words = {"", "", "", std::string(reader.argument(late.received_text(), 3))};
-    EXPECT_LE(figure(words, "d"), 1900 - after.count() / 1000 + 150);
-    EXPECT_GT(figure(words, "d"), 0);
+        target(delayed_host));
+    ASSERT_TRUE(node.start());
+    auto client = node.connect();
+    const Micros written_at = event::Loop::clock();
+    client->stream.write(query(1, "c=lookup,t=team,d=1900,units=1,spread=1,first=0"));
+    node.run_for(50ms);
+    ASSERT_TRUE(node.run_until([&] { return delayed_host.received_bytes() > 0; }, 2500ms));
+    const Micros elapsed = event::Loop::clock() - written_at;
+    EXPECT_GT(elapsed.count(), Micros(500ms).count()) << "the connection was not delayed";
+    resp::CommandParser parser;
+    ASSERT_EQ(parser.parse(delayed_host.received_text()), resp::ParseStatus::complete);
+    const Words words = {"", "", "", std::string(parser.argument(delayed_host.received_text(), 3))};
+    EXPECT_LE(list_value(words, "d"), 1900 - elapsed.count() / 1000 + 150);
+    EXPECT_GT(list_value(words, "d"), 0);
 }
 
-TEST(Deadline, AKeyedRequestIsNotRepeatedOverAConnectionThatComesUpAfterItsWindow) {
-    DelayedAcceptHost late;
-    FaultNode n(1, [](std::string config) {
+TEST(Deadline, KeyedRequestIsNotRepeatedAfterItsRepeatWindow) {
+    DelayedAcceptHost delayed_host;
+    FaultNode node(1, [](std::string config) {
         config = replace_once(std::move(config), "\"connectTimeoutUs\":250000",
                               "\"connectTimeoutUs\":3000000");
         config = replace_once(std::move(config), "\"promiseUs\":750000", "\"promiseUs\":1950000");
         return replace_once(std::move(config), "\"repeatWindowUs\":1200000",
                             "\"repeatWindowUs\":800000");
     });
-    Accepting::Peer* first = nullptr;
-    n.hosts[0]->respond = [&](Accepting::Peer& p, const Words&) { first = &p; };
-    ASSERT_TRUE(n.start());
-    ASSERT_TRUE(n.run_until([&] { return !n.discovery->asked.empty(); }));
-    auto c = n.connect();
-    c->stream.write(replace_once(submit(1, "SHEET"), "d=1500", "d=1900"));
-    ASSERT_TRUE(n.run_until([&] { return first != nullptr; }));
-    // The host of the first attempt drains and breaks off: what is left of its cell is the late
-    // one.
-    n.discovery->say(Discovery::list(
-        42, false,
-        n.hosts[0]->target("s-1", "draining") + "," + replace_once(target(late), "s-1", "s-2")));
-    n.run_for(50ms);
-    first->stream.reset();
-    n.run_for(100ms);  // the connection to the late one is asked for before it takes any
-    n.run_until([&] { return late.received_bytes() > 0; }, 1800ms);
-    EXPECT_EQ(late.received_bytes(), 0u) << "the window was over when the connection came up";
-    n.run_until([&] { return !c->received.empty(); }, 500ms);
-    EXPECT_EQ(c->received.substr(0, 1), "-");
+    Accepting::Peer* first_peer = nullptr;
+    node.hosts[0]->respond = [&](Accepting::Peer& peer, const Words&) { first_peer = &peer; };
+    ASSERT_TRUE(node.start());
+    ASSERT_TRUE(node.run_until([&] { return !node.discovery->asked.empty(); }));
+    auto client = node.connect();
+    client->stream.write(replace_once(submit(1, "SHEET"), "d=1500", "d=1900"));
+    ASSERT_TRUE(node.run_until([&] { return first_peer != nullptr; }));
+    // The host of the first attempt drains and resets its connection; the delayed host is the only
+    // other one in its cell.
+    node.discovery->say(Discovery::list(42, false,
+                                        node.hosts[0]->target("s-1", "draining") + "," +
+                                            replace_once(target(delayed_host), "s-1", "s-2")));
+    node.run_for(50ms);
+    first_peer->stream.reset();
+    node.run_for(
+        100ms);  // the node connects to the delayed host before that accepts any connection
+    node.run_until([&] { return delayed_host.received_bytes() > 0; }, 1800ms);
+    EXPECT_EQ(delayed_host.received_bytes(), 0u)
+        << "the repeat window ended before the connection was established";
+    node.run_until([&] { return !client->received.empty(); }, 500ms);
+    EXPECT_EQ(client->received.substr(0, 1), "-");
 }
 
-TEST(Deadline, WhatCameWhileTheProcessWasHeldUpKeepsOnlyWhatIsLeft) {
+TEST(Deadline, TimeInAStoppedProcessIsDeducted) {
     for (const bool new_connection : {false, true}) {
-        FaultNode n(1, patient);
-        std::vector<Begun> begun;
-        Micros written{0};
-        n.hosts[0]->respond = [&](Accepting::Peer& p, const Words& w) {
-            begun.push_back(
-                {event::Loop::clock() - written, std::chrono::milliseconds(figure(w, "d"))});
-            p.stream.write(served("for " + w[2]));
+        FaultNode node(1, with_long_promise);
+        std::vector<ReceivedAttempt> attempts;
+        Micros written_at{0};
+        node.hosts[0]->respond = [&](Accepting::Peer& peer, const Words& words) {
+            attempts.push_back({event::Loop::clock() - written_at,
+                                std::chrono::milliseconds(list_value(words, "d"))});
+            peer.stream.write(served("for " + words[2]));
         };
-        ASSERT_TRUE(n.start());
-        auto c = n.connect();
-        c->stream.write("*1\r\n$4\r\nPING\r\n");
-        ASSERT_TRUE(n.run_until([&] { return c->received.size() == 7; }));
-        n.process->signal(SIGSTOP);
-        n.run_for(20ms);
-        if (new_connection) c = n.connect();
-        written = event::Loop::clock();
-        c->stream.write(query(1, "c=lookup,t=team,d=1500,units=1,spread=1,first=0"));
-        n.run_for(900ms);
-        n.process->signal(SIGCONT);
-        EXPECT_TRUE(n.run_until([&] { return !begun.empty(); }, 1s));
-        for (const Begun& b : begun) {
-            EXPECT_LE((b.told + b.after).count(), Micros(1500ms + slack).count()) << new_connection;
-            EXPECT_GT(b.told.count(), Micros(200ms).count()) << "not all of it is lost";
+        ASSERT_TRUE(node.start());
+        auto client = node.connect();
+        client->stream.write("*1\r\n$4\r\nPING\r\n");
+        ASSERT_TRUE(node.run_until([&] { return client->received.size() == 7; }));
+        node.process->signal(SIGSTOP);
+        node.run_for(20ms);
+        if (new_connection) client = node.connect();
+        written_at = event::Loop::clock();
+        client->stream.write(query(1, "c=lookup,t=team,d=1500,units=1,spread=1,first=0"));
+        node.run_for(900ms);
+        node.process->signal(SIGCONT);
+        EXPECT_TRUE(node.run_until([&] { return !attempts.empty(); }, 1s));
+        for (const ReceivedAttempt& attempt : attempts) {
+            EXPECT_LE((attempt.passed_deadline + attempt.elapsed).count(),
+                      Micros(1500ms + tolerance).count())
+                << new_connection;
+            EXPECT_GT(attempt.passed_deadline.count(), Micros(200ms).count())
+                << "too much time was deducted";
         }
     }
 }
--- a/tests/faults/discovery_test.cpp
+++ b/tests/faults/discovery_test.cpp
@@ -1,14 +1,15 @@
-// A discovery service that responds slowly.
-#include "tests/faults/rig.h"
+// Guards against a node that never gets a list from a discovery service that responds slowly: the
+// timeout for the first list must grow.
+#include "tests/faults/fault_node.h"
 
 using namespace fault_test;
 
 TEST(SlowDiscovery, GetsALongerFirstListTimeout) {
-    FaultNode n;
-    n.discovery->patience = 1500ms;
-    n.discovery->first = Discovery::list(50, true, n.hosts[0]->target("s-1", "draining"));
-    ASSERT_TRUE(n.start());
-    EXPECT_TRUE(
-        n.run_until([&] { return n.process->log().find("revision=50") != std::string::npos; }, 6s))
-        << n.process->log();
+    FaultNode node;
+    node.discovery->patience = 1500ms;
+    node.discovery->first = Discovery::list(50, true, node.hosts[0]->target("s-1", "draining"));
+    ASSERT_TRUE(node.start());
+    EXPECT_TRUE(node.run_until(
+        [&] { return node.process->log().find("revision=50") != std::string::npos; }, 6s))
+        << node.process->log();
 }
--- a/tests/faults/log_test.cpp
+++ b/tests/faults/log_test.cpp
@@ -1,84 +1,86 @@
-// A log that nobody reads, or that has no room, never holds up a request; what was not written is
-// counted.
+// Guards against requests that block on the log: its pipe is full, its reader has closed the pipe,
+// or the disk is full. Lines that were not written are counted in log_dropped.
 #include <fcntl.h>
 
-#include "tests/faults/rig.h"
+#include "tests/faults/fault_node.h"
 
 using namespace fault_test;
 
 namespace {
 struct Pipe {
-    event::Fd out, in;
+    event::Fd read_end, write_end;
     Pipe() {
-        int ends[2];
-        EXPECT_EQ(::pipe2(ends, O_CLOEXEC), 0);
-        out = event::Fd(ends[0]), in = event::Fd(ends[1]);
+        int fds[2];
+        EXPECT_EQ(::pipe2(fds, O_CLOEXEC), 0);
+        read_end = event::Fd(fds[0]), write_end = event::Fd(fds[1]);
     }
     void fill() const {
-        ::fcntl(in.get(), F_SETFL, O_NONBLOCK);
-        const std::string page(4096, '.');
-        while (::write(in.get(), page.data(), page.size()) > 0) {
+        ::fcntl(write_end.get(), F_SETFL, O_NONBLOCK);
+        const std::string filler(4096, '.');
+        while (::write(write_end.get(), filler.data(), filler.size()) > 0) {
         }
-        ::fcntl(in.get(), F_SETFL, 0);
+        ::fcntl(write_end.get(), F_SETFL, 0);
     }
-    std::string take() const {
-        ::fcntl(out.get(), F_SETFL, O_NONBLOCK);
-        std::string got;
+    std::string read_all() const {
+        ::fcntl(read_end.get(), F_SETFL, O_NONBLOCK);
+        std::string text;
         char buffer[65536];
-        for (ssize_t n; (n = ::read(out.get(), buffer, sizeof buffer)) > 0;)
-            got.append(buffer, static_cast<std::size_t>(n));
-        return got;
+        for (ssize_t size; (size = ::read(read_end.get(), buffer, sizeof buffer)) > 0;)
+            text.append(buffer, static_cast<std::size_t>(size));
+        return text;
     }
 };
-// Many lines: each change of the list is one.
-void change_list(FaultNode& n, int from, int changes) {
-    for (int i = 0; i < changes; ++i)
-        n.discovery->say(Discovery::list(from + i, false, n.hosts[0]->target("s-1")));
-    n.run_for(50ms);
+// Makes the node log `count` lines, one for each change of the list.
+void send_list_changes(FaultNode& node, int first_revision, int count) {
+    for (int i = 0; i < count; ++i)
+        node.discovery->say(
+            Discovery::list(first_revision + i, false, node.hosts[0]->target("s-1")));
+    node.run_for(50ms);
 }
 }  // namespace
 
-TEST(Log, NobodyReadsIt) {
+TEST(Log, FullPipeDoesNotBlockRequests) {
     Pipe pipe;
     pipe.fill();
-    FaultNode n;
-    ASSERT_TRUE(n.start(pipe.in.get()));
-    EXPECT_TRUE(n.serves(1));
-    change_list(n, 42, 20);
-    EXPECT_TRUE(n.serves(2));
-    pipe.take();
-    change_list(n, 62, 1);
-    EXPECT_TRUE(n.run_until(
-        [&] { return pipe.take().find("log_dropped lines=") != std::string::npos; }, 3s))
-        << "the count of dropped lines is told once there is room";
-    EXPECT_TRUE(n.serves(3));
+    FaultNode node;
+    ASSERT_TRUE(node.start(pipe.write_end.get()));
+    EXPECT_TRUE(node.serves_request(1));
+    send_list_changes(node, 42, 20);
+    EXPECT_TRUE(node.serves_request(2));
+    pipe.read_all();
+    send_list_changes(node, 62, 1);
+    EXPECT_TRUE(node.run_until(
+        [&] { return pipe.read_all().find("log_dropped lines=") != std::string::npos; }, 3s))
+        << "the number of dropped lines is not logged after the pipe was read";
+    EXPECT_TRUE(node.serves_request(3));
 }
 
-TEST(Log, ItsReaderHasGone) {
-    FaultNode n;
+TEST(Log, ClosedPipeDoesNotStopTheNode) {
+    FaultNode node;
     {
         Pipe pipe;
-        ASSERT_TRUE(n.start(pipe.in.get()));
+        ASSERT_TRUE(node.start(pipe.write_end.get()));
     }
-    change_list(n, 42, 5);
-    EXPECT_TRUE(n.serves(1));
-    EXPECT_TRUE(n.runs());
+    send_list_changes(node, 42, 5);
+    EXPECT_TRUE(node.serves_request(1));
+    EXPECT_TRUE(node.is_running());
 }
 
-TEST(Log, TheDiskIsFullForAWhile) {
+TEST(Log, FailedWritesDoNotBlockRequests) {
     for (const int error : {ENOSPC, EIO, EINTR}) {
-        FaultNode n;
-        ASSERT_TRUE(n.start());
-        n.process->faults.fail(faults::write_call, error, faults::unlimited, 300ms);
-        change_list(n, 42, 5);
-        EXPECT_TRUE(n.serves(1));
-        EXPECT_GT(n.process->faults.failed_calls(faults::write_call), 0);
-        n.run_for(400ms);
-        change_list(n, 47, 1);
-        EXPECT_TRUE(n.run_until(
-            [&] { return n.process->log().find("log_dropped lines=") != std::string::npos; }, 3s))
+        FaultNode node;
+        ASSERT_TRUE(node.start());
+        node.process->faults.fail(faults::write_call, error, faults::unlimited, 300ms);
+        send_list_changes(node, 42, 5);
+        EXPECT_TRUE(node.serves_request(1));
+        EXPECT_GT(node.process->faults.failed_calls(faults::write_call), 0);
+        node.run_for(400ms);
+        send_list_changes(node, 47, 1);
+        EXPECT_TRUE(node.run_until(
+            [&] { return node.process->log().find("log_dropped lines=") != std::string::npos; },
+            3s))
             << error << "\n"
-            << n.process->log();
-        EXPECT_TRUE(n.serves(2));
+            << node.process->log();
+        EXPECT_TRUE(node.serves_request(2));
     }
 }
--- a/tests/faults/slow_start_test.cpp
+++ b/tests/faults/slow_start_test.cpp
@@ -1,69 +1,74 @@
-// A host that starts is ramped by the gateway's own clock, whatever the wall clock says.
-#include "tests/faults/rig.h"
+// Guards against slow start that depends on the wall clock: the load of a started host must follow
+// the gateway's monotonic clock, even if the wall clock is wrong or is stepped.
+#include "tests/faults/fault_node.h"
 
 using namespace fault_test;
 
 namespace {
 constexpr int warm_hosts = 4;
-constexpr auto cold_time = 4s;
+constexpr auto cold_duration = 4s;
 
-// One gateway with a wall clock of its own, four warm hosts and one that appears.
-struct Stepped {
+// One gateway with its own wall clock offset, four warm hosts, and a fifth host that is added
+// later.
+struct SlowStartTest {
     FaultNode node;
     std::unique_ptr<Client> client;
-    std::uint64_t ids = 0;
-    explicit Stepped(std::chrono::microseconds step)
+    std::uint64_t last_id = 0;
+    explicit SlowStartTest(std::chrono::microseconds wall_clock_offset)
         : node(warm_hosts, [](std::string config) {
               config = replace_once(std::move(config), "\"coldUs\":10000000", "\"coldUs\":4000000");
               return replace_once(std::move(config), "\"instances\":3", "\"instances\":1");
           }) {
-        node.process->faults->wall_clock_offset_us = step.count();
+        node.process->faults->wall_clock_offset_us = wall_clock_offset.count();
     }
-    // Answers take a while that differs, as they do; else a gateway keeps to the host that was
-    // fastest once.
-    void work_like_a_host(Host& host) {
-        host.respond = [this](Accepting::Peer& p, const Words& w) {
-            node.loop.after(std::chrono::milliseconds(20 + ids * 7 % 30),
-                            [&p, value = "for " + w[2]] {
-                                if (!p.over) p.stream.write(served(value));
+    // Answers after a delay that varies between requests; with a constant delay the gateway would
+    // keep to the host that was fastest once.
+    void respond_with_delay(Host& host) {
+        host.respond = [this](Accepting::Peer& peer, const Words& words) {
+            node.loop.after(std::chrono::milliseconds(20 + last_id * 7 % 30),
+                            [&peer, value = "for " + words[2]] {
+                                if (!peer.over) peer.stream.write(served(value));
                             });
         };
     }
     bool start() {
         for (auto& host : node.hosts)
-            work_like_a_host(*host);
+            respond_with_delay(*host);
         if (!node.start() || !node.run_until([&] { return !node.discovery->asked.empty(); }))
             return false;
         client = node.connect();
         return true;
     }
-    // Some 160 requests a second.
-    void load(std::chrono::milliseconds span) {
-        const Micros end = event::Loop::clock() + span;
-        std::function<void()> next = [&, end] {
-            if (event::Loop::clock() >= end) return;
-            client->stream.write(query(++ids, "c=lookup,t=team,d=1500,units=1,spread=1,first=0"));
-            node.loop.after(6ms, next);
+    // Sends about 160 requests per second.
+    void send_load(std::chrono::milliseconds duration) {
+        const Micros end_time = event::Loop::clock() + duration;
+        std::function<void()> send_next = [&, end_time] {
+            if (event::Loop::clock() >= end_time) return;
+            client->stream.write(
+                query(++last_id, "c=lookup,t=team,d=1500,units=1,spread=1,first=0"));
+            node.loop.after(6ms, send_next);
         };
-        next();
-        node.run_for(span + 50ms);
+        send_next();
+        node.run_for(duration + 50ms);
     }
-    // What the new host got, as a part of the mean of warm ones.
-    double share(std::chrono::milliseconds span) {
-        for (auto& h : node.hosts)
-            h->commands.clear();
-        load(span);
-        double warm = 0;
+    // Returns the number of requests at the new host divided by the mean over the warm hosts.
+    double new_host_load_ratio(std::chrono::milliseconds duration) {
+        for (auto& host : node.hosts)
+            host->commands.clear();
+        send_load(duration);
+        double warm_requests = 0;
         for (int i = 0; i < warm_hosts; ++i)
-            warm += static_cast<double>(node.hosts[static_cast<std::size_t>(i)]->commands.size());
-        return static_cast<double>(node.hosts.back()->commands.size()) / (warm / warm_hosts);
+            warm_requests +=
+                static_cast<double>(node.hosts[static_cast<std::size_t>(i)]->commands.size());
+        return static_cast<double>(node.hosts.back()->commands.size()) /
+               (warm_requests / warm_hosts);
     }
-    void appears(std::int64_t boot_ms) {
+    void add_host(std::int64_t boot_ms) {
         node.hosts.push_back(std::make_unique<Host>(node.loop));
-        work_like_a_host(*node.hosts.back());
-        again(boot_ms);
+        respond_with_delay(*node.hosts.back());
+        announce_host(boot_ms);
     }
-    void again(std::int64_t boot_ms) {
+    void announce_host(std::int64_t boot_ms) {
         node.discovery->say(
             Discovery::list(++revision, false,
                             replace_once(node.hosts.back()->target("s-new"), "\"boot_ms\":0",
@@ -77,44 +82,47 @@
                std::chrono::system_clock::now().time_since_epoch())
         .count();
 }
-// The share in the first 1.5 s and after the ramp, by the step of the gateway's wall clock at its
-// start and of the new host's start time.
-void ramp(std::chrono::microseconds step, std::chrono::milliseconds boot_off) {
-    Stepped s(step);
-    ASSERT_TRUE(s.start());
-    s.load(2000ms);
-    s.appears(unix_ms() + boot_off.count());
-    const double first = s.share(1500ms);
-    EXPECT_LT(first, 0.55);
-    s.load(std::chrono::milliseconds(cold_time) - 1500ms);
-    const double after = s.share(1500ms);
-    EXPECT_GT(after, 0.7) << "it stays cold";
-    std::printf("first %.2f, after %.2f\n", first, after);
+// Checks the load of a new host in its first 1.5 s and after slow start. `wall_clock_offset` is
+// added to the gateway's wall clock, `start_time_offset` to the start time that the new host
+// reports.
+void check_ramp(std::chrono::microseconds wall_clock_offset,
+                std::chrono::milliseconds start_time_offset) {
+    SlowStartTest test(wall_clock_offset);
+    ASSERT_TRUE(test.start());
+    test.send_load(2000ms);
+    test.add_host(unix_ms() + start_time_offset.count());
+    const double initial_ratio = test.new_host_load_ratio(1500ms);
+    EXPECT_LT(initial_ratio, 0.55);
+    test.send_load(std::chrono::milliseconds(cold_duration) - 1500ms);
+    const double final_ratio = test.new_host_load_ratio(1500ms);
+    EXPECT_GT(final_ratio, 0.7) << "the host is still in slow start";
+    std::printf("load of the new host: %.2f in the first 1.5 s, %.2f after slow start\n",
+                initial_ratio, final_ratio);
 }
 }  // namespace
 
-TEST(SlowStart, ByATrueClock) {
-    ramp(0s, 0ms);
+TEST(SlowStart, WithACorrectWallClock) {
+    check_ramp(0s, 0ms);
 }
-TEST(SlowStart, ByAWallClockAnHourAhead) {
-    ramp(1h, 0ms);
+TEST(SlowStart, WithAWallClockOneHourAhead) {
+    check_ramp(1h, 0ms);
 }
-TEST(SlowStart, ByAWallClockAnHourBehind) {
-    ramp(-1h, 0ms);
+TEST(SlowStart, WithAWallClockOneHourBehind) {
+    check_ramp(-1h, 0ms);
 }
 TEST(SlowStart, AStartTimeInTheFutureDoesNoHarm) {
-    ramp(0s, 1h);
+    check_ramp(0s, 1h);
 }
 
-TEST(SlowStart, AStepWhileItRunsChangesNothingAndAChangedStartTimeIsAStart) {
-    Stepped s(0s);
-    ASSERT_TRUE(s.start());
-    s.load(2000ms);
-    s.appears(unix_ms());
-    s.load(4500ms);
-    EXPECT_GT(s.share(1000ms), 0.7);
-    s.node.process->faults->wall_clock_offset_us = std::chrono::microseconds(-1h).count();
-    EXPECT_GT(s.share(1000ms), 0.7) << "a step alone";
-    s.again(unix_ms() - 7'200'000);
-    EXPECT_LT(s.share(1500ms), 0.55) << "another start time";
+TEST(SlowStart, IgnoresAWallClockStepAndRestartsOnAChangedStartTime) {
+    SlowStartTest test(0s);
+    ASSERT_TRUE(test.start());
+    test.send_load(2000ms);
+    test.add_host(unix_ms());
+    test.send_load(4500ms);
+    EXPECT_GT(test.new_host_load_ratio(1000ms), 0.7);
+    test.node.process->faults->wall_clock_offset_us = std::chrono::microseconds(-1h).count();
+    EXPECT_GT(test.new_host_load_ratio(1000ms), 0.7) << "after a step of the wall clock alone";
+    test.announce_host(unix_ms() - 7'200'000);
+    EXPECT_LT(test.new_host_load_ratio(1500ms), 0.55) << "after a changed start time";
 }
