--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,51 +1,53 @@
-// silverreach_soak [seed [seconds [gateways [hosts]]]]: real gateway processes on loopback under
-// overlapping troubles, judged by the promises. Prints the troubles and every breach; exit code 1
-// where there is one. SOAK_LOGS names a folder that gets the gateways' logs where there was a
-// breach; with SILVERREACH_LOG=debug they tell of every request.
+// silverreach_soak [seed [seconds [gateways [hosts]]]]: runs gateway processes on loopback under
+// overlapping faults and checks their guarantees. Prints the faults and each violation; the exit
+// code is 1 if there is a violation. SOAK_LOGS names a directory that receives the gateways' logs
+// after a violation; with SILVERREACH_LOG=debug the logs contain each request.
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
 
-#include "tests/soak/world.h"
+#include "tests/soak/test_environment.h"
 
-int main(int count, char** words) {
+int main(int argument_count, char** arguments) {
     using namespace std::chrono_literals;
-    const auto number = [&](int at, int otherwise) {
-        return count > at ? std::atoi(words[at]) : otherwise;
+    const auto integer_argument = [&](int index, int default_value) {
+        return argument_count > index ? std::atoi(arguments[index]) : default_value;
     };
-    const auto seed = static_cast<std::uint64_t>(number(1, 1));
-    const auto span = std::chrono::seconds(number(2, 20));
-    soak::Size size;
-    size.gateways = number(3, size.gateways);
-    size.hosts = number(4, size.hosts);
+    const auto seed = static_cast<std::uint64_t>(integer_argument(1, 1));
+    const auto duration = std::chrono::seconds(integer_argument(2, 20));
+    soak::EnvironmentSize size;
+    size.gateways = integer_argument(3, size.gateways);
+    size.hosts = integer_argument(4, size.hosts);
     ::signal(SIGPIPE, SIG_IGN);
 
-    soak::Ledger ledger{soak::Figures{}};
+    soak::GuaranteeChecker checker{soak::GuaranteeLimits{}};
     silverreach::event::Loop loop;
-    const auto begun = silverreach::event::Loop::clock();
-    const auto time = [&](soak::Micros at) {
-        return static_cast<double>((at - begun).count()) / 1e6;
+    const auto started_at = silverreach::event::Loop::clock();
+    const auto seconds_since_start = [&](soak::Micros time) {
+        return static_cast<double>((time - started_at).count()) / 1e6;
     };
     {
-        soak::World world(loop, size, seed, ledger);
-        soak::play_troubles(world, span, [&](const std::string& what) {
-            std::printf("%7.3f %s\n", time(silverreach::event::Loop::clock()), what.c_str());
+        soak::TestEnvironment environment(loop, size, seed, checker);
+        soak::inject_faults(environment, duration, [&](const std::string& description) {
+            std::printf("%7.3f %s\n", seconds_since_start(silverreach::event::Loop::clock()),
+                        description.c_str());
         });
-        loop.after(span, [&] { world.stop_clients(); });
-        loop.after(span + 4s, [&] { loop.stop(); });
+        loop.after(duration, [&] { environment.stop_clients(); });
+        loop.after(duration + 4s, [&] { loop.stop(); });
         loop.run();
-        ledger.finish(silverreach::event::Loop::clock());
-        const char* logs = std::getenv("SOAK_LOGS");
-        if (logs && !ledger.violations().empty()) world.keep_logs(logs);
+        checker.finish(silverreach::event::Loop::clock());
+        const char* log_directory = std::getenv("SOAK_LOGS");
+        if (log_directory && !checker.violations().empty()) environment.save_logs(log_directory);
     }
-    for (const soak::Violation& v : ledger.violations())
-        std::printf("BREACH %7.3f %s: %s\n", time(v.at), soak::text_of(v.breach).c_str(),
-                    v.what.c_str());
+    for (const soak::Violation& violation : checker.violations())
+        std::printf("BREACH %7.3f %s: %s\n", seconds_since_start(violation.time),
+                    soak::name_of(violation.kind).c_str(), violation.description.c_str());
     std::printf(
         "seed %llu: %zu requests, %zu served, %zu refused or failed, %zu attempts, %zu breaches\n",
-        static_cast<unsigned long long>(seed), ledger.requests(), ledger.served(),
-        ledger.refused_or_failed(), ledger.attempts(), ledger.violations().size());
-    const bool enough = ledger.served() > ledger.requests() / 4;
-    if (!enough) std::printf("BREACH: too little was served to tell anything\n");
-    return ledger.violations().empty() && enough ? 0 : 1;
+        static_cast<unsigned long long>(seed), checker.request_count(), checker.served_count(),
+        checker.refused_or_failed_count(), checker.attempt_count(), checker.violations().size());
+    const bool served_enough = checker.served_count() > checker.request_count() / 4;
+    if (!served_enough)
+        std::printf("BREACH: too few requests were served for a meaningful result\n");
+    return checker.violations().empty() && served_enough ? 0 : 1;
 }
