--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -37,7 +37,7 @@
     void on_end() override {
         end(DiscoveryErrorCode::connection_lost, "the service closed the connection");
     }
-    void on_broken(int error) override {
+    void on_error(int error) override {
         end(DiscoveryErrorCode::connection_lost, std::strerror(error));
     }
     bool on_head(http::Head& head) override {
--- a/src/frontend/common/connection_manager.h
+++ b/src/frontend/common/connection_manager.h
@@ -68,9 +68,9 @@
     // Accepts the connections that the system has already accepted, then stops listening.
     // `deadline`: see DrainManager.
     void start_draining(Micros deadline);
-    // Sets the function that is called while descriptors are short; see Listener::on_shortage.
+    // Sets the function that is called while descriptors are short; see Listener::set_close_idle.
     void on_shortage(std::function<bool()> close_idle) {
-        listener_->on_shortage(std::move(close_idle));
+        listener_->set_close_idle(std::move(close_idle));
     }
     // Evicts a connection without work to free its descriptor; returns false if there is none.
     // Returns true without an eviction while a connection is lingering, because that one is about
--- a/src/upstream/http/upstream.cpp
+++ b/src/upstream/http/upstream.cpp
@@ -28,7 +28,7 @@
       context_{loop, config, callbacks, pool_, attempts_} {}
 
 void Upstream::send(const core::AttemptKey& key, const std::string& host,
-                    std::shared_ptr<const OutRequest> request) {
+                    std::shared_ptr<const UpstreamRequest> request) {
     const auto acquired = acquire(host, {});
     if (const auto* error = std::get_if<upstream::AcquireError>(&acquired))
         return callbacks_.on_attempt_ended(key, host, upstream::outcome_of(*error), 0us, {}, 0);
@@ -38,7 +38,7 @@
     connection.begin(key, std::move(request));
 }
 
-// A host may be chosen before its list has been applied here.
+// The core may choose a host before update_hosts() has received the list that contains it.
 std::variant<upstream::PooledConnection*, upstream::AcquireError> Upstream::acquire(
     const std::string& host, const upstream::ExchangeTraits& traits) {
     if (!pool_.has_host(host)) pool_.add_host(host, config::parse_endpoint(host));
@@ -57,7 +57,8 @@
 }
 
 void Upstream::set_reading(const core::AttemptKey& key, bool enabled) {
-    if (UpstreamConnection* connection = attempts_.find(key)) connection->stream().read(enabled);
+    if (UpstreamConnection* connection = attempts_.find(key))
+        connection->stream().set_reading(enabled);
 }
 
 void Upstream::start_health_check(const std::string& host) {
--- a/src/upstream/resp/upstream.cpp
+++ b/src/upstream/resp/upstream.cpp
@@ -9,8 +9,8 @@
 namespace silverreach::upstream_resp {
 namespace {
 using namespace std::chrono_literals;
-// A handshake that outlasts its attempt goes on for the next one: without that, each slow handshake
-// would cost an attempt and another handshake.
+// A handshake that takes longer than its attempt continues and serves a later attempt. Otherwise
+// each slow handshake would cost an attempt and another handshake.
 constexpr Micros pending_timeout = 2s;
 constexpr std::size_t max_pending_per_host = 2;
 constexpr Micros sweep_interval = 500ms;
@@ -42,9 +42,9 @@
                     std::shared_ptr<const platform::UpstreamCommand> command) {
     const auto acquired = pool_.acquire(host, {.idempotent = command->is_idempotent});
     if (const auto* error = std::get_if<upstream::AcquireError>(&acquired)) {
-        HostResponse none;
-        none.outcome = upstream::outcome_of(*error);
-        return callbacks_.on_attempt_ended(key, host, 0us, std::move(none));
+        HostResponse response;
+        response.outcome = upstream::outcome_of(*error);
+        return callbacks_.on_attempt_ended(key, host, 0us, std::move(response));
     }
     auto& connection =
         static_cast<UpstreamConnection&>(*std::get<upstream::PooledConnection*>(acquired));
@@ -80,15 +80,15 @@
     pool_.update_hosts(list.complete, updates);
 }
 
-void Upstream::return_unsent_to_unlisted() {
-    // Ending an attempt may change the pool.
+void Upstream::end_unsent_to_unlisted() {
+    // Collected first, because ending an attempt may change the pool.
     std::vector<core::AttemptKey> unsent;
     pool_.for_each_in_use([&](upstream::PooledConnection& connection) {
         if (connection.host().listed || connection.is_health_check()) return;
         if (!connection.request_sent()) unsent.push_back(connection.key());
     });
     for (const core::AttemptKey& key : unsent)
-        if (UpstreamConnection* connection = attempts_.find(key)) connection->return_unsent();
+        if (UpstreamConnection* connection = attempts_.find(key)) connection->end_unsent();
 }
 
 }  // namespace silverreach::upstream_resp
--- a/src/upstream/resp/upstream_connection.h
+++ b/src/upstream/resp/upstream_connection.h
@@ -1,9 +1,9 @@
-// One RESP connection to a host: writes the command of an attempt or health check and reads its
-// reply. States are those of upstream::PooledConnection without `receiving_body`: a reply counts
-// only once it is complete and well-formed.
+// One RESP connection to a host: writes the command of an attempt or health check and reads the
+// reply. The states are those of upstream::PooledConnection without `receiving_body`, because a
+// reply counts only once it is complete and well-formed.
 //
-// An attempt that ends during the handshake leaves its connection to the pool, which keeps it
-// pending for the next one.
+// When an attempt ends during the handshake, its connection returns to the pool, which keeps it as
+// pending for a later exchange.
 #pragma once
 
 #include <memory>
@@ -20,14 +20,14 @@
 class UpstreamConnection;
 using AttemptTable = upstream::AttemptTable<UpstreamConnection>;
 
-// Replies that ended their connection.
+// Numbers of replies after which the connection was closed.
 struct ResponseCounters {
-    std::uint64_t malformed = 0;       // not the protocol's form, or too large
-    std::uint64_t trailing_bytes = 0;  // complete, with bytes behind
-    std::uint64_t stalled = 0;         // begun and not continued
+    std::uint64_t malformed = 0;       // not well-formed, or too large
+    std::uint64_t trailing_bytes = 0;  // complete, but followed by more bytes
+    std::uint64_t stalled = 0;         // begun but not completed in time
 };
 
-// What all connections of an Upstream share; outlives them.
+// Shared by all connections of an Upstream; outlives them.
 struct ConnectionContext {
     event::Loop& loop;
     const UpstreamLimits& limits;
@@ -42,20 +42,20 @@
   public:
     UpstreamConnection(ConnectionContext& context, upstream::HostConnections& host, event::Fd fd);
 
-    // Both send now, or once the connection is up.
+    // Both send now, or once the connection is established.
     void begin_attempt(const core::AttemptKey& key,
                        std::shared_ptr<const platform::UpstreamCommand> command);
     void begin_health_check(std::string command);
     // Ends the exchange without a callback.
     void abandon();
     // Ends the attempt as `not_started`.
-    void return_unsent();
+    void end_unsent();
 
   private:
     void on_ready() override { write_request(); }
     void on_response_bytes(std::string_view bytes) override;
-    void on_remote_close() override { fail_lost(); }
-    void on_exchange_broken(int error) override;
+    void on_remote_close() override { fail_connection_lost(); }
+    void on_exchange_error(int error) override;
 
     void begin(const core::AttemptKey& key);
     void write_request();
@@ -63,12 +63,12 @@
     void on_incomplete_reply(bool first_bytes);
     void on_complete_reply();
 
-    void limit_connect_time();
-    void limit_health_check_time();
-    void limit_send_time();
-    void watch_for_stall(Micros wait);
+    void start_connect_timer();
+    void start_health_check_timer();
+    void start_send_timer();
+    void start_stall_timer(Micros wait);
 
-    void fail_lost();
+    void fail_connection_lost();
     void fail_malformed();
     void finish(HostResponse response, bool reusable);
     void release(bool reusable);
@@ -77,7 +77,7 @@
     ResponseReader reader_;
     std::shared_ptr<const platform::UpstreamCommand> command_;
     std::string health_check_command_;
-    Micros last_bytes_{0};  // loop time
+    Micros last_bytes_at_{0};  // loop time
 };
 
 }  // namespace silverreach::upstream_resp
--- a/tests/upstream/common/connection_pool_test.cpp
+++ b/tests/upstream/common/connection_pool_test.cpp
@@ -1,12 +1,12 @@
-// The pool that both protocols share, with connections of a protocol that writes nothing, over
-// loopback.
+// Tests the connection pool that both protocols share, over loopback, with a connection class that
+// writes no bytes.
 #include "upstream/common/connection_pool.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
 
 #include "event/listener.h"
-#include "tests/support/loop.h"
+#include "tests/support/loopback.h"
 
 using namespace silverreach;
 using namespace silverreach::upstream;
@@ -24,10 +24,10 @@
     void on_ready() override { mark_request_written(); }
     void on_response_bytes(std::string_view) override { mark_response_started(); }
     void on_remote_close() override {}
-    void on_exchange_broken(int) override {}
+    void on_exchange_error(int) override {}
 };
 
-// A host that accepts and keeps connections.
+// A host that accepts connections and keeps them open.
 struct FakeHost {
     std::vector<event::Fd> accepted;
     event::Listener listener;
@@ -43,7 +43,7 @@
     }
 };
 
-struct ConnectionPoolTest : test_support::OnLoop, testing::Test {
+struct ConnectionPoolTest : test_support::LoopRunner, testing::Test {
     FakeHost host{loop};
     PoolPolicy policy;
     std::unique_ptr<ConnectionPool> pool;
@@ -65,11 +65,11 @@
         const auto* connection = std::get_if<PooledConnection*>(&acquired);
         return connection ? static_cast<FakeConnection*>(*connection) : nullptr;
     }
-    // An exchange on a connection that is up.
+    // Starts an exchange and waits until its connection is established.
     FakeConnection* begin(const std::string& name) {
         FakeConnection* connection = acquire(name);
         connection->begin();
-        EXPECT_TRUE(run([&] { return connection->connected(); }));
+        EXPECT_TRUE(run_until([&] { return connection->is_connected(); }));
         return connection;
     }
     void end(FakeConnection* connection, bool reusable = true) const {
@@ -82,17 +82,17 @@
 };
 }  // namespace
 
-TEST_F(ConnectionPoolTest, StatesFollowAnExchange) {
+TEST_F(ConnectionPoolTest, StateFollowsTheExchange) {
     start();
     FakeConnection* connection = acquire("a");
     ASSERT_TRUE(connection);
     EXPECT_EQ(connection->state(), State::pending);
     connection->begin();
     EXPECT_EQ(connection->state(), State::connecting);
-    ASSERT_TRUE(run([&] { return connection->state() == State::awaiting_response; }));
-    ASSERT_TRUE(run([&] { return !host.accepted.empty(); }));
+    ASSERT_TRUE(run_until([&] { return connection->state() == State::awaiting_response; }));
+    ASSERT_TRUE(run_until([&] { return !host.accepted.empty(); }));
     ASSERT_EQ(::write(host.accepted[0].get(), "x", 1), 1);
-    ASSERT_TRUE(run([&] { return connection->state() == State::receiving_body; }));
+    ASSERT_TRUE(run_until([&] { return connection->state() == State::receiving_body; }));
     end(connection);
     EXPECT_EQ(connection->state(), State::idle);
     connection->retire();
@@ -111,12 +111,12 @@
     EXPECT_EQ(pool->stats().opened, 2u);
 }
 
-TEST_F(ConnectionPoolTest, HostLimitHoldsForRequestsAndNotForHealthChecks) {
+TEST_F(ConnectionPoolTest, HostLimitAppliesToRequestsButNotToHealthChecks) {
     policy.max_in_use_per_host = 1;
     start();
     ASSERT_TRUE(acquire("a"));
     EXPECT_EQ(error_of("a"), AcquireError::host_limit_reached);
-    EXPECT_TRUE(acquire("b")) << "a limit of each host";
+    EXPECT_TRUE(acquire("b")) << "the limit applies to each host separately";
     EXPECT_TRUE(acquire("a", {.idempotent = true, .health_check = true}));
 }
 
@@ -126,12 +126,12 @@
     FakeConnection* older = begin("a");
     FakeConnection* newer = begin("b");
     end(older);
-    pass(5ms);
+    run_for(5ms);
     end(newer);
     EXPECT_TRUE(acquire("c"));
     EXPECT_EQ(older->state(), State::closed);
-    EXPECT_EQ(acquire("b"), newer) << "it was not evicted";
-    EXPECT_EQ(error_of("a"), AcquireError::pool_limit_reached) << "all are in use";
+    EXPECT_EQ(acquire("b"), newer) << "the newer connection was not evicted";
+    EXPECT_EQ(error_of("a"), AcquireError::pool_limit_reached) << "all connections are in use";
     EXPECT_EQ(pool->stats().full, 1u);
     EXPECT_EQ(pool->stats().open, 2u);
 }
@@ -152,16 +152,16 @@
     EXPECT_EQ(pool->stats().open, 1u);
     EXPECT_EQ(pool->stats().hosts, 3u);
     end(in_use);
-    EXPECT_EQ(pool->stats().open, 0u) << "closed with its exchange";
-    EXPECT_TRUE(run([&] { return pool->stats().hosts == 1; })) << "the host is forgotten";
+    EXPECT_EQ(pool->stats().open, 0u) << "the connection closes at the end of its exchange";
+    EXPECT_TRUE(run_until([&] { return pool->stats().hosts == 1; })) << "the pool removes the host";
 }
 
 TEST_F(ConnectionPoolTest, IdleConnectionsAreClosedAtTheirTimeout) {
     policy.idle_timeout = 50ms;
     start();
     end(begin("a"));
-    EXPECT_FALSE(run([&] { return pool->stats().open == 0; }, 30ms));
-    EXPECT_TRUE(run([&] { return pool->stats().open == 0; }, 1s));
+    EXPECT_FALSE(run_until([&] { return pool->stats().open == 0; }, 30ms));
+    EXPECT_TRUE(run_until([&] { return pool->stats().open == 0; }, 1s));
 }
 
 TEST_F(ConnectionPoolTest, NonIdempotentRequestsReuseOnlyRecentConnections) {
@@ -169,7 +169,7 @@
     start();
     FakeConnection* rested = begin("a");
     end(rested);
-    pass(30ms);
+    run_for(30ms);
     EXPECT_NE(acquire("a", {.idempotent = false}), rested);
     EXPECT_EQ(acquire("a"), rested);
 }
@@ -177,9 +177,9 @@
 TEST_F(ConnectionPoolTest, ConnectionsClosedByTheirHostAreDropped) {
     start();
     end(begin("a"));
-    ASSERT_TRUE(run([&] { return host.accepted.size() == 1; }));
+    ASSERT_TRUE(run_until([&] { return host.accepted.size() == 1; }));
     host.accepted.clear();
-    EXPECT_TRUE(run([&] { return pool->stats().open == 0; }));
+    EXPECT_TRUE(run_until([&] { return pool->stats().open == 0; }));
     EXPECT_EQ(pool->stats().stale, 1u);
 }
 
@@ -194,6 +194,6 @@
     end(dropped);
     EXPECT_EQ(kept->state(), State::pending);
     EXPECT_EQ(dropped->state(), State::closed);
-    ASSERT_TRUE(run([&] { return kept->state() == State::idle; }));
+    ASSERT_TRUE(run_until([&] { return kept->state() == State::idle; }));
     EXPECT_EQ(acquire("a"), kept);
 }
