--- a/tests/node/discovery_watch_test.cpp
+++ b/tests/node/discovery_watch_test.cpp
@@ -41,7 +41,7 @@
 const std::string complete_list_request = "GET /v1/endpoints?follow=1 HTTP/1.1";
 }  // namespace
 
-TEST(ObjectReader, AnObjectEndsWhereItsBracesClose) {
+TEST(ObjectReader, AnObjectEndsAtItsClosingBrace) {
     const std::string object = "{\n \"a\": [ {\"b\": \"}]\\\"{\"} ],\n \"c\": {} }";
     const std::string stream = "\r\n" + object + "\n\n" + object + "{}";
     for (std::size_t size = 1; size <= stream.size(); ++size) {
@@ -67,7 +67,7 @@
     EXPECT_EQ(small.read(bytes), platform::ObjectReader::Status::malformed);
 }
 
-TEST(DiscoveryWatch, AListMayComeIndentedAndInPieces) {
+TEST(DiscoveryWatch, AcceptsAnIndentedListInSmallChunks) {
     Watching w;
     const std::string text =
         "{\n  \"rev\": 42,\n  \"all\": false,\n  \"targets\": [\n    " + one + "\n  ]\n}\n";
@@ -77,17 +77,17 @@
     }
     ASSERT_TRUE(w.received(1));
     EXPECT_EQ(w.lists[0].revision, 42);
-    EXPECT_EQ(w.discovery.asked.size(), 1u) << "nothing was wrong with it";
+    EXPECT_EQ(w.discovery.asked.size(), 1u) << "a valid list causes no new request";
 }
 
-TEST(DiscoveryWatch, AfterAMalformedListTheCompleteListIsRequestedAtOnce) {
+TEST(DiscoveryWatch, AMalformedListIsFollowedByARequestForTheCompleteList) {
     for (const char* bad :
          {R"({"rev":42,"all":true,"targets":[{"uid":}]})", "noise", R"({"rev":"x"})"}) {
         Watching w(60s);
         w.discovery.say(Discovery::list(42, false, one));
         ASSERT_TRUE(w.received(1));
         w.discovery.say(bad);
-        ASSERT_TRUE(w.requested(2)) << "without a backoff: " << bad;
+        ASSERT_TRUE(w.requested(2)) << "the next request follows without backoff after: " << bad;
         EXPECT_EQ(w.discovery.asked[1], complete_list_request);
         w.discovery.say(Discovery::list(43, true, one));
         EXPECT_TRUE(w.received(2));
@@ -109,14 +109,14 @@
     ASSERT_TRUE(w.requested(2));
     w.discovery.say(Discovery::list(45, true, one));
     ASSERT_TRUE(w.received(1));
-    EXPECT_EQ(w.lists[0].revision, 45) << "the truth";
+    EXPECT_EQ(w.lists[0].revision, 45) << "the complete list replaces the older revision";
 }
 
-TEST(DiscoveryWatch, InactivityIsDetectedAndIncompleteObjectsAreNoActivity) {
+TEST(DiscoveryWatch, OnlyCompleteObjectsAndEmptyLinesCountAsActivity) {
     Watching w;
     w.discovery.say(Discovery::list(42, false, one));
     ASSERT_TRUE(w.received(1));
-    for (int i = 0; i < 24; ++i) {  // empty lines are activity
+    for (int i = 0; i < 24; ++i) {  // empty lines count as activity
         w.pass(50ms);
         w.discovery.say("");
     }
@@ -130,20 +130,20 @@
     EXPECT_EQ(w.discovery.asked[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
 }
 
-TEST(DiscoveryWatch, AServiceThatAcceptsAndSendsNothingIsCalledAgain) {
+TEST(DiscoveryWatch, ASilentServiceIsCalledAgainAfterTheFirstListTimeout) {
     Watching w(10ms, 200ms);
-    ASSERT_TRUE(w.requested(2)) << "the first list is due within its timeout";
+    ASSERT_TRUE(w.requested(2)) << "the watch is repeated after the first-list timeout";
     ASSERT_TRUE(w.requested(3));
     w.discovery.say(Discovery::list(42, false, one));
     EXPECT_TRUE(w.received(1));
 }
 
-TEST(DiscoveryWatch, AStableWatchThatEndsIsResumedAtOnce) {
+TEST(DiscoveryWatch, AStableWatchThatEndsIsResumedWithoutBackoff) {
     Watching w(60s);
     w.discovery.say(Discovery::list(42, false, one));
     ASSERT_TRUE(w.received(1));
     w.discovery.peers[0]->stream.close();
-    ASSERT_TRUE(w.requested(2)) << "without a backoff";
+    ASSERT_TRUE(w.requested(2)) << "the next request follows without backoff";
     EXPECT_EQ(w.discovery.asked[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
 }
 
--- a/tests/node/endings_test.cpp
+++ b/tests/node/endings_test.cpp
@@ -1,5 +1,5 @@
-// Clients, hosts and drains that end while requests are in flight. Each unfavourable order of
-// events is set up before the loop runs.
+// Clients, hosts and drains that end while requests are in flight. The tests put the events of each
+// unfavourable order into the sockets before the loop runs.
 #include <netinet/in.h>
 #include <sys/socket.h>
 
@@ -17,7 +17,8 @@
 std::string answer(std::uint64_t id) {
     return bulk("for " + hex(id));
 }
-// A client whose bytes, and end, are in the socket before the node reads.
+// Returns a client socket whose bytes are in the node's socket before the node reads. A close of
+// the returned socket also arrives before that.
 event::Fd raw(const TestNode& n, const std::string& bytes) {
     event::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in at{};
@@ -39,22 +40,22 @@
 }
 }  // namespace
 
-TEST(ClientEnds, AnAttemptWhoseConnectionIsPendingNeverBegins) {
+TEST(ClientEnds, NoAttemptIsSentAfterADisconnectDuringTheConnect) {
     LateHost late;
     TestNode n({0, 256, 1000, 64, 3000, target(late)});
     {
         auto c = n.connect();
         c->stream.write(submit(1, "SHEET"));
         n.pass(50ms);
-    }  // disconnects before the connection is up
+    }  // disconnects before the host accepts the connection
     n.pass(10ms);
     EXPECT_TRUE(n.run([&] { return late.bytes() > 0 || late.taken() > 0; }, 1800ms))
-        << "it does come up";
+        << "the host accepts the pending connection";
     n.pass(50ms);
     EXPECT_EQ(late.bytes(), 0u);
 }
 
-TEST(ClientEnds, ARequestWhoseClientDisconnectsInTheSameTurnIsNotForwarded) {
+TEST(ClientEnds, ARequestReadTogetherWithItsClientsDisconnectIsNotForwarded) {
     TestNode n;
     { const event::Fd gone = raw(n, query(1) + query(2)); }
     n.pass(50ms);
@@ -76,11 +77,12 @@
     }
     n.pass(20ms);
     n.hosts[0]->respond = [](Accepting::Peer& p, const Words&) { p.stream.write(served("later")); };
-    EXPECT_EQ(n.talk(query(1), 5), bulk("later")) << "its id is free again";
+    EXPECT_EQ(n.talk(query(1), 5), bulk("later")) << "the request id is free again";
 }
 
 TEST(ClientEnds, NoRetryBeginsForADisconnectedClient) {
-    // The host's error and the client's end are in their sockets before the loop reads either.
+    // The host's error and the client's disconnect are in their sockets before the loop reads
+    // either.
     for (const bool end_first : {false, true}) {
         TestNode n({2});
         Accepting::Peer* host = nullptr;
@@ -96,7 +98,7 @@
     }
 }
 
-TEST(HostDrains, UnsentAttemptsMoveToAnotherHostAtOnce) {
+TEST(HostDrains, UnsentAttemptsMoveToAnotherHost) {
     LateHost late;
     TestNode n({0, 256, 1000, 64, 5000, target(late)});
     ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
@@ -111,7 +113,7 @@
     EXPECT_EQ(late.bytes(), 0u);
 }
 
-TEST(Endings, AnErrorLineReachesAClientWhoseBytesWereNotAllRead) {
+TEST(Endings, AnErrorLineReachesAClientWithUnreadBytes) {
     TestNode n;
     const event::Fd c = raw(n, "*x\r\n" + std::string(100'000, 'x'));
     n.pass(50ms);
@@ -121,7 +123,7 @@
     EXPECT_FALSE(reset);
 }
 
-TEST(Endings, BytesAfterTheGatewaysEndAreReadAndNeverForwarded) {
+TEST(Endings, BytesAfterTheErrorLineAreReadAndNeverForwarded) {
     TestNode n;
     const event::Fd c = raw(n, "*x\r\n");
     n.pass(20ms);
@@ -140,10 +142,10 @@
     TestNode n;
     auto c = n.connect();
     c->stream.write("*x\r\n" + std::string(8'000'000, 'x'));
-    EXPECT_TRUE(n.run([&] { return c->broken; }, 4s)) << "it is not read without limit";
+    EXPECT_TRUE(n.run([&] { return c->broken; }, 4s)) << "the node limits how long it reads";
 }
 
-TEST(Endings, LingeringClientsDoNotKeepOthersOut) {
+TEST(Endings, LingeringClientsDoNotLockOutOthers) {
     TestNode n({1, 64});
     std::vector<event::Fd> stay;
     for (int i = 0; i < 60; ++i) {
@@ -154,7 +156,7 @@
 }
 
 namespace {
-// A node whose host has received a client's request and not answered it.
+// A node whose host has received a client's request and has not answered it.
 struct OneInFlight : TestNode {
     Accepting::Peer* host = nullptr;
     std::unique_ptr<Client> client = connect();
@@ -166,19 +168,19 @@
 };
 }  // namespace
 
-TEST(DrainEnds, ARequestInFlightIsNeverLostToTheEndOfTheDrain) {
+TEST(DrainEnds, TheDrainWaitsForARequestInFlight) {
     OneInFlight n;
     ASSERT_TRUE(n.host);
     bool done = false;
     n.node->drain(0ms, 100ms, [&] { done = true; });
     n.pass(250ms);
-    EXPECT_FALSE(done) << "its response is still due";
+    EXPECT_FALSE(done) << "the drain waits for the response";
     n.host->stream.write(served("for " + hex(1)));
     EXPECT_TRUE(n.run([&] { return done; }, 2s));
     EXPECT_EQ(n.client->got, answer(1));
 }
 
-TEST(DrainEnds, LateRequestsAreAnsweredBeforeItsEnd) {
+TEST(DrainEnds, RequestsThatArriveDuringTheDrainAreAnswered) {
     OneInFlight n;
     ASSERT_TRUE(n.host);
     n.node->drain(0ms, 400ms, [] {});
@@ -188,11 +190,11 @@
     n.pass(20ms);
     n.host->stream.write(served("for " + hex(1)));
     ASSERT_TRUE(n.run([&] { return n.client->got.ends_with(pong); }, 1s))
-        << "long before its own time";
+        << "the response precedes the request's deadline";
     EXPECT_TRUE(n.client->got.starts_with(answer(1) + "-")) << n.client->got;
 }
 
-TEST(DrainEnds, AClientThatKeepsSendingIsClosedToo) {
+TEST(DrainEnds, AClientThatKeepsSendingIsClosed) {
     TestNode n;
     auto c = n.connect();
     bool done = false;
@@ -211,7 +213,7 @@
 }
 
 namespace {
-// Records how attempts end.
+// Records the outcomes of attempts.
 struct RecordedEnds : upstream_resp::AttemptCallbacks {
     std::vector<Outcome> outcomes;
     std::optional<Micros> begin_send(const core::AttemptKey&) override { return 1s; }
@@ -223,7 +225,7 @@
 };
 }  // namespace
 
-TEST(HostEnds, ANonIdempotentRequestReusesNoConnectionIdleForLong) {
+TEST(HostEnds, ANonIdempotentRequestReusesNoLongIdleConnection) {
     test_support::OnLoop on;
     Host host(on.loop);
     RecordedEnds ends;
@@ -244,11 +246,11 @@
         return host.peers.size();
     };
     EXPECT_EQ(send(1, false), 1u);
-    EXPECT_EQ(send(2, false), 1u) << "used a moment ago";
+    EXPECT_EQ(send(2, false), 1u) << "the connection was used recently";
     on.pass(400ms);
-    EXPECT_EQ(send(3, false), 2u) << "idle for longer than the limit";
+    EXPECT_EQ(send(3, false), 2u) << "the connection is idle for longer than the limit";
     on.pass(400ms);
-    EXPECT_EQ(send(4, true), 2u) << "an idempotent one reuses it";
+    EXPECT_EQ(send(4, true), 2u) << "an idempotent request reuses the connection";
 }
 
 TEST(HostEnds, APendingConnectionServesTheNextAttempt) {
@@ -265,11 +267,11 @@
     ASSERT_TRUE(on.run([&] { return ends.outcomes.size() == 1; }, 1s));
     EXPECT_EQ(ends.outcomes[0], Outcome::connect_failed);
     ASSERT_TRUE(on.run([&] { return late.bytes() > 0 || late.taken() > 0; }, 1800ms))
-        << "it comes up";
+        << "the host accepts the pending connection";
     on.pass(20ms);
     up.send({2, 0}, "s-1", command);
     EXPECT_TRUE(on.run([&] { return late.bytes() > 0; }, 1s))
-        << "at once, on the pending connection";
+        << "sent on the connection that was pending";
     EXPECT_EQ(up.stats().connections.opened, 1u);
 }
 
@@ -284,7 +286,8 @@
     auto command = std::make_shared<platform::UpstreamCommand>();
     up.send({1, 0}, "s-1", command);
     up.send({2, 0}, "s-1", command);
-    EXPECT_EQ(ends.outcomes, std::vector<Outcome>{Outcome::not_started}) << "nothing was tried";
+    EXPECT_EQ(ends.outcomes, std::vector<Outcome>{Outcome::not_started})
+        << "no connection was tried";
     up.send({3, 0}, "s-none", command);
-    EXPECT_EQ(ends.outcomes.back(), Outcome::connect_failed) << "its address is unknown";
+    EXPECT_EQ(ends.outcomes.back(), Outcome::connect_failed) << "the host has no known address";
 }
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -1,4 +1,5 @@
-// The node between scripted clients, hosts and a discovery: what passes on the sockets, row by row.
+// The node between scripted clients, hosts and a discovery service, checked by the bytes on the
+// sockets.
 #include <fcntl.h>
 #include <sys/resource.h>
 #include <sys/socket.h>
@@ -18,7 +19,7 @@
 }
 }  // namespace
 
-TEST(Node, ServesFromTheFirstMomentAndTellsTheHostHowLongItWaits) {
+TEST(Node, ServesAfterStartAndSendsHostsTheRemainingTime) {
     TestNode n;
     EXPECT_EQ(n.talk(ping(), pong.size()), pong);
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
@@ -29,12 +30,12 @@
     const auto d = w[3].find(",d=");
     const int told = std::stoi(w[3].substr(d + 3));
     EXPECT_GT(told, 1000);
-    EXPECT_LT(told, 1500) << "no longer than the client waits";
+    EXPECT_LT(told, 1500) << "the host gets less time than the client has";
     EXPECT_EQ(n.talk(submit(2, "SHEET"), answer(2).size()), answer(2));
     EXPECT_EQ(n.hosts[0]->commands[1][4], "SHEET");
 }
 
-TEST(Node, PipelinedAnswersComeInTheOrderOfTheirCommandsEachOnce) {
+TEST(Node, PipelinedResponsesFollowTheOrderOfTheirCommands) {
     TestNode n({3});
     std::vector<std::pair<Accepting::Peer*, Words>> waiting;
     for (auto& h : n.hosts)
@@ -42,14 +43,14 @@
     auto c = n.connect();
     c->stream.write(query(1) + ping() + query(2) + "*1\r\n$4\r\nNOPE\r\n" + query(3));
     ASSERT_TRUE(n.run([&] { return waiting.size() == 3; }));
-    for (std::size_t i = 3; i-- > 0;) {  // the last first
+    for (std::size_t i = 3; i-- > 0;) {  // hosts respond in reverse order
         waiting[i].first->stream.write(served("for " + waiting[i].second[2]));
         n.pass(20ms);
     }
     EXPECT_EQ(c->got, answer(1) + pong + answer(2) + "-ERR unknown command\r\n" + answer(3));
 }
 
-TEST(Node, NonsenseGetsAnErrorLineAndNothingOfItGoesOn) {
+TEST(Node, InvalidCommandsGetAnErrorLineAndAreNotForwarded) {
     TestNode n;
     for (const std::string& bad : {query(1, "c=none,t=team,d=500"), query(1, "c=lookup,t=team,d=x"),
                                    query(1, "c=lookup,t=team,d=500,units=1e9,spread=1,first=0"),
@@ -62,7 +63,7 @@
     EXPECT_EQ(n.commands(), 0u);
 }
 
-TEST(Node, AnIdThatIsOpenIsRefusedAndTheOpenRequestUntouched) {
+TEST(Node, ADuplicateOfAnIdInFlightIsRejected) {
     TestNode n;
     Accepting::Peer* open = nullptr;
     n.hosts[0]->respond = [&](Accepting::Peer& p, const Words&) { open = &p; };
@@ -76,7 +77,7 @@
     EXPECT_EQ(n.commands(), 1u);
 }
 
-TEST(Node, ABrokenFrameGetsOneErrorLineAndTheEndAfterTheAnswersBeforeIt) {
+TEST(Node, AMalformedFrameClosesTheConnectionAfterEarlierResponses) {
     TestNode n;
     for (const std::string& bad :
          {std::string("GET / HTTP/1.1\r\n\r\n"), std::string("*-5\r\n"),
@@ -93,17 +94,17 @@
     EXPECT_EQ(c->got, answer(1) + "-ERR Protocol error: expected an array of bulk strings\r\n");
 }
 
-TEST(Node, SilentAndHalfSentConnectionsEndInTime) {
+TEST(Node, SilentAndIncompleteConnectionsTimeOut) {
     TestNode n;
     auto silent = n.connect(), half = n.connect(), used = n.connect();
     half->stream.write(query(1).substr(0, 40));
     used->stream.write(ping());
     EXPECT_TRUE(n.run([&] { return silent->over() && half->over(); }, 2900ms));
-    EXPECT_FALSE(used->over()) << "one that has been in use may idle longer";
+    EXPECT_FALSE(used->over()) << "a connection that has been used has a longer idle timeout";
     EXPECT_EQ(n.commands(), 0u);
 }
 
-TEST(Node, WhoRepeatsNonsenseIsReadMoreSlowlyAndOthersAreNot) {
+TEST(Node, InvalidCommandsThrottleOnlyTheirOwnConnection) {
     TestNode n;
     auto rude = n.connect();
     std::string many;
@@ -117,7 +118,7 @@
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
 }
 
-TEST(Node, ManySilentConnectionsDoNotKeepAUsualClientOut) {
+TEST(Node, ManySilentConnectionsDoNotLockOutOtherClients) {
     TestNode n({1, 64});
     std::vector<std::unique_ptr<Client>> silent;
     for (int i = 0; i < 150; ++i)
@@ -127,7 +128,7 @@
     EXPECT_EQ(n.talk(query(2), answer(2).size(), 1s), answer(2));
 }
 
-TEST(Node, OutOfDescriptorsItGoesOnOnceThereAreSomeAgain) {
+TEST(Node, ServiceResumesAfterADescriptorShortage) {
     TestNode n;
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
     rlimit old{};
@@ -136,20 +137,20 @@
     rlimit tight = old;
     tight.rlim_cur = static_cast<rlim_t>(probe.get()) + 13;
     ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &tight), 0);
-    std::vector<event::Fd> many;  // ours and the node's come from the same few
+    std::vector<event::Fd> many;  // the test and the node share the process's descriptors
     for (int i = 0; i < 40; ++i) {
         int error = 0;
         many.push_back(event::connect_to("127.0.0.1", n.node->port(), false, error));
         if (!many.back()) break;
     }
-    EXPECT_FALSE(many.back()) << "they have run out";
+    EXPECT_FALSE(many.back()) << "the process has no descriptors left";
     n.pass(150ms);
     many.clear();
     EXPECT_EQ(setrlimit(RLIMIT_NOFILE, &old), 0);
     EXPECT_EQ(n.talk(query(2), answer(2).size()), answer(2));
 }
 
-TEST(Node, AlwaysNewCustomersAndConnectionsAreServedAlike) {
+TEST(Node, HostConnectionsDoNotGrowWithCustomersAndClients) {
     TestNode n({4});
     for (std::uint64_t i = 1; i <= 400; ++i)
         ASSERT_EQ(n.talk(query(i, "c=lookup,t=team,d=1500,units=1,spread=1,first=0", hex(5000 + i)),
@@ -160,10 +161,10 @@
     for (auto& h : n.hosts)
         for (auto& p : h->peers)
             open += !p->over;
-    EXPECT_LE(open, 8u) << "hosts' connections do not grow with customers";
+    EXPECT_LE(open, 8u) << "host connections do not grow with customers";
 }
 
-TEST(Node, ASpoiltAnswerIsAFailedAttemptAndNeverReachesTheClient) {
+TEST(Node, AMalformedResponseIsAFailedAttemptAndNeverReachesTheClient) {
     for (const std::string& bad :
          {std::string("noise\r\n"), std::string("*3\r\n$3000000000\r\naaaa"),
           std::string("*3\r\n$2\r\nokay\r\n$-1\r\n$-1\r\n"), std::string("$2\r\nok\r\n"),
@@ -176,15 +177,15 @@
                 p.stream.write(spoilt++ == 0 ? bad : served("for " + w[2]));
             };
         EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1)) << bad;
-        EXPECT_EQ(n.commands(), 2u) << "repeated once: a look-up may be";
+        EXPECT_EQ(n.commands(), 2u) << "an idempotent request is retried once";
         int ended = 0;
         for (auto& h : n.hosts)
             ended += h->ended;
-        EXPECT_EQ(ended, 1) << "its connection is of no further use";
+        EXPECT_EQ(ended, 1) << "the connection with the malformed response is closed";
     }
 }
 
-TEST(Node, AnAnswerThatStopsInTheMiddleIsGivenUpLongBeforeTheDeadline) {
+TEST(Node, AStalledResponseIsAbandonedBeforeTheDeadline) {
     TestNode n({2});
     int begun = 0;
     for (auto& h : n.hosts)
@@ -200,10 +201,10 @@
     EXPECT_EQ(n.commands(), 2u);
 }
 
-TEST(Node, ALargeValuePassesWholeAndSlowlyAsLongAsItComes) {
+TEST(Node, ALargeValueThatArrivesSlowlyIsForwardedCompletely) {
     TestNode n;
     const std::string value(300'000, 'v');
-    // The module expects answers as they have been: slow ones first.
+    // The gateway expects response times like earlier ones, so the first response is slow.
     n.hosts[0]->respond = [&](Accepting::Peer& p, const Words& w) {
         n.loop.after(100ms, [&p, w] { p.stream.write(served("for " + w[2])); });
     };
@@ -218,7 +219,7 @@
     EXPECT_EQ(n.commands(), 2u);
 }
 
-TEST(Node, WhatItKeepsOfLargeValuesIsAnEighthOfTheMemory) {
+TEST(Node, BufferedResponsesAreLimitedToAnEighthOfTheMemory) {
     for (const int memory_mb : {64, 1}) {
         TestNode n({2, 256, 1000, memory_mb});
         const std::string value(300'000, 'v');
@@ -236,7 +237,7 @@
     }
 }
 
-TEST(Node, WhatComesBehindAnAnswerIsNeverTakenForTheNext) {
+TEST(Node, ExcessBytesAfterAResponseAreNotTheNextResponse) {
     TestNode n;
     n.hosts[0]->respond = [&](Accepting::Peer& p, const Words& w) {
         p.stream.write(served("for " + w[2]) + served("for " + w[2]));
@@ -244,7 +245,7 @@
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
     EXPECT_EQ(n.talk(query(2), answer(2).size()), answer(2));
     EXPECT_EQ(n.hosts[0]->peers.size(), 2u);
-    // Behind it, but later, while the connection is idle.
+    // The excess bytes arrive later, while the connection is idle.
     n.hosts[0]->respond = [&](Accepting::Peer& p, const Words& w) {
         p.stream.write(served("for " + w[2]));
         n.loop.after(20ms, [&p] { p.stream.write("noise"); });
@@ -255,7 +256,7 @@
     EXPECT_EQ(n.hosts[0]->peers.size(), 4u);
 }
 
-TEST(Node, AReportThatCannotBeReadIsPassedOverAndTheConnectionUsedAgain) {
+TEST(Node, AMalformedLoadReportIsIgnoredAndTheConnectionReused) {
     TestNode n;
     for (const char* report : {"queue=", "queue=many", "\xff\xfe", "queue=-3", "queue=2", "=,="}) {
         n.hosts[0]->respond = [&](Accepting::Peer& p, const Words&) {
@@ -268,7 +269,7 @@
     EXPECT_EQ(upstream_resp::parse_load_report("queue=1e400").queued_requests, -1);
 }
 
-TEST(Node, AConnectionBrokenAfterTheRequestMayHaveRunAndOneRefusedHasNot) {
+TEST(Node, ARefusedConnectionIsRetriedAndAResetOneIsNot) {
     TestNode n({2});
     n.hosts[0]->listener.stop();
     n.hosts[1]->respond = [&](Accepting::Peer& p, const Words& w) {
@@ -277,14 +278,14 @@
     for (std::uint64_t i = 1; i <= 4; ++i)
         EXPECT_EQ(n.talk(submit(i, "b"), answer(i).size()), answer(i)) << i;
     EXPECT_EQ(n.hosts[0]->commands.size(), 0u);
-    // Broken off: a keyed request may be repeated only in the same cell; there is none other, so it
-    // fails.
+    // After a reset, a keyed request may be retried only in the same cell. The cell has no other
+    // host, so the request fails.
     n.hosts[1]->respond = [&](Accepting::Peer& p, const Words&) { p.stream.reset(); };
     const std::string got = n.talk(submit(9, "b"), 5);
     EXPECT_TRUE(got.starts_with("-ERR")) << got;
 }
 
-TEST(Node, RefusalsSayWhenToComeBack) {
+TEST(Node, RejectionsStateARetryDelay) {
     TestNode n({1, 256, 0.5});
     std::string got;
     for (std::uint64_t i = 1; i <= 4; ++i)
@@ -293,7 +294,7 @@
     EXPECT_GT(std::atoi(got.c_str() + 6), 0);
 }
 
-TEST(Node, AClientThatGoesAwayFreesItsPlace) {
+TEST(Node, ADisconnectedClientFreesItsRequestId) {
     TestNode n;
     n.hosts[0]->respond = [](Accepting::Peer&, const Words&) {};
     {
@@ -303,15 +304,15 @@
     }
     n.pass(20ms);
     n.hosts[0]->respond = [](Accepting::Peer& p, const Words&) { p.stream.write(served("later")); };
-    EXPECT_EQ(n.talk(query(1), 5), bulk("later")) << "its id is free again";
+    EXPECT_EQ(n.talk(query(1), 5), bulk("later")) << "the request id is free again";
 }
 
-TEST(NodeDiscovery, AUidIsItsOwnHostWhateverAddressItHas) {
+TEST(NodeDiscovery, HostsAreIdentifiedByUidNotByAddress) {
     TestNode n;
     ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
     EXPECT_EQ(n.discovery->asked[0], "GET /v1/endpoints?follow=1&since=41 HTTP/1.1");
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
-    // Another uid at the same address: the old one's connections are not carried over.
+    // Another uid at the same address: the new host does not reuse the connections of the old one.
     n.discovery->say(
         Discovery::list(42, false, R"({"uid":"s-1","state":"gone"},)" + n.hosts[0]->target("s-9")));
     n.pass(30ms);
@@ -326,7 +327,7 @@
     EXPECT_EQ(n.commands(), 2u);
 }
 
-TEST(NodeDiscovery, ADrainingHostGetsNothingNew) {
+TEST(NodeDiscovery, ADrainingHostGetsNoNewRequests) {
     TestNode n({2});
     ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
     n.discovery->say(Discovery::list(42, false, n.hosts[0]->target("s-1", "draining", 0)));
@@ -336,7 +337,7 @@
     EXPECT_EQ(n.hosts[0]->commands.size(), 0u);
 }
 
-TEST(NodeDiscovery, ALineThatCannotBeReadChangesNothingAndTheWholeListIsAskedFor) {
+TEST(NodeDiscovery, AMalformedListIsIgnoredAndTheCompleteListRequested) {
     TestNode n;
     ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
     n.discovery->say(R"({"rev":42,"all":true,"targets":[{"uid":"s-)");
@@ -345,7 +346,7 @@
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
 }
 
-TEST(NodeDiscovery, ANewConfigurationIsFollowedAndTheOldListUsedMeanwhile) {
+TEST(NodeDiscovery, TheOldListIsUsedAfterAReloadUntilTheNewOneArrives) {
     TestNode n;
     ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
     Discovery other(n.loop);
@@ -353,17 +354,18 @@
     n.node->reload(TestNode::config(other.address(), moved.target("s-9")));
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1));
     ASSERT_TRUE(n.run([&] { return other.asked.size() == 1; }));
-    EXPECT_EQ(other.asked[0], "GET /v1/endpoints?follow=1 HTTP/1.1") << "its revisions are its own";
+    EXPECT_EQ(other.asked[0], "GET /v1/endpoints?follow=1 HTTP/1.1")
+        << "revisions of another service are not comparable";
     other.say(Discovery::list(3, true, moved.target("s-9")));
     n.pass(30ms);
     EXPECT_EQ(n.talk(query(2), answer(2).size()), answer(2));
     EXPECT_EQ(moved.commands.size(), 1u);
-    n.node->reload(TestNode::config(other.address(), ""));  // the same again: nothing happens
+    n.node->reload(TestNode::config(other.address(), ""));  // the same service: no new watch
     n.pass(30ms);
     EXPECT_EQ(other.asked.size(), 1u);
 }
 
-TEST(NodeDiscovery, HostsThatComeAndGoLeaveNothingBehind) {
+TEST(NodeDiscovery, ConnectionsToRemovedHostsAreClosed) {
     TestNode n;
     ASSERT_TRUE(n.run([&] { return n.discovery->asked.size() == 1; }));
     for (int i = 0; i < 50; ++i) {
@@ -375,10 +377,10 @@
                   answer(id));
     }
     n.pass(600ms);
-    EXPECT_EQ(n.hosts[0]->ended, 49) << "one connection is left, to the latest";
+    EXPECT_EQ(n.hosts[0]->ended, 49) << "only the connection to the latest host is left";
 }
 
-TEST(NodeDrain, ServesOnForAMomentAnswersWhatIsInHandAndEnds) {
+TEST(NodeDrain, ServesDuringTheNoticePeriodAndAnswersRequestsInFlight) {
     TestNode n;
     std::vector<std::pair<Accepting::Peer*, Words>> waiting;
     auto idle = n.connect(), busy = n.connect();
@@ -386,7 +388,7 @@
     ASSERT_TRUE(n.run([&] { return idle->got == pong; }));
     bool done = false;
     n.node->drain(100ms, 2s, [&] { done = true; });
-    n.node->drain(0ms, 0s, [&] { ADD_FAILURE() << "a second signal changes nothing"; });
+    n.node->drain(0ms, 0s, [&] { ADD_FAILURE() << "a second drain call must have no effect"; });
     EXPECT_EQ(n.talk(query(1), answer(1).size()), answer(1)) << "a new connection is still served";
     n.hosts[0]->respond = [&](Accepting::Peer& p, const Words& w) { waiting.emplace_back(&p, w); };
     busy->stream.write(query(2));
@@ -399,10 +401,9 @@
     EXPECT_EQ(busy->got, answer(2));
 }
 
-TEST(NodeDrain, WhatTheSystemHasAcceptedIsStillAnswered) {
+TEST(NodeDrain, ConnectionsInTheAcceptQueueAreAnswered) {
     TestNode n({5});
-    std::vector<std::unique_ptr<Client>>
-        waiting;  // their connections stand, but nobody has taken them yet
+    std::vector<std::unique_ptr<Client>> waiting;  // established, but not accepted by the node yet
     for (std::uint64_t i = 0; i < 5; ++i) {
         waiting.push_back(n.connect());
         ::usleep(1000);
@@ -418,7 +419,7 @@
         EXPECT_EQ(waiting[i]->got, answer(i + 1));
 }
 
-TEST(NodeDrain, HoweverManyTheSystemHasAccepted) {
+TEST(NodeDrain, ManyConnectionsInTheAcceptQueueAreAnswered) {
     TestNode n({1, 512});
     std::vector<std::unique_ptr<Client>> waiting;
     for (int i = 0; i < 200; ++i) {
@@ -426,7 +427,7 @@
         ASSERT_EQ(::send(waiting.back()->stream.fd(), ping().data(), ping().size(), MSG_NOSIGNAL),
                   static_cast<ssize_t>(ping().size()));
     }
-    // Before the loop has taken any of them.
+    // The node has not accepted any of them yet.
     bool done = false;
     n.node->drain(0ms, 2s, [&] { done = true; });
     EXPECT_TRUE(n.run([&] { return done; }));
@@ -439,7 +440,7 @@
     event::Loop loop;
     std::vector<config::Endpoint> at;
     for (int i = 0; i < 3; ++i) {
-        // Free ports, found by listening for a moment.
+        // Listens for a moment to find a free port.
         event::Listener l(
             loop, "127.0.0.1", 0, false, [] { return true; }, [](event::Fd, std::string) {});
         at.push_back({"127.0.0.1", l.port(), false});
@@ -472,7 +473,7 @@
     EXPECT_EQ(a.stats().dropped, 1u);
 }
 
-TEST(Node, ManyCommandsAtOnceAreAllAnsweredAtOnce) {
+TEST(Node, ManyPipelinedCommandsAreAnsweredPromptly) {
     TestNode n;
     std::string pings, pongs;
     for (int i = 0; i < 500; ++i)
--- a/tests/node/rig.h
+++ b/tests/node/rig.h
@@ -1,5 +1,5 @@
-// A node in this process, RESP hosts that a test scripts byte by byte, a discovery that says what
-// it is told to, and raw clients; all on one loop on loopback.
+// A node in the test process, RESP hosts and a discovery service whose bytes a test scripts, and
+// raw clients. All run on one event loop over loopback.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
 using test_support::Client;
 using test_support::LateHost;
 
-// Accepts connections and hands what comes on each to the test.
+// Accepts connections and passes the bytes received on each to a callback.
 struct Accepting {
     struct Peer : event::StreamOwner {
         Accepting& owner;
@@ -99,8 +99,8 @@
 
 struct Discovery : Accepting {
     std::vector<std::string> asked;
-    std::string first;   // said to each new watch
-    Micros patience{0};  // before it says anything
+    std::string first;   // sent to each new watch
+    Micros patience{0};  // delay of each response
     explicit Discovery(event::Loop& l) : Accepting(l, [this](Peer& p) { take(p); }) {}
     void take(Peer& p) {
         const auto end = p.got.find("\r\n\r\n");
@@ -192,7 +192,8 @@
                                      [](const char*) -> const char* { return nullptr; });
     }
     std::unique_ptr<Client> connect() { return std::make_unique<Client>(loop, node->port()); }
-    // What comes back until `size` bytes are there or the node closes.
+    // Sends the bytes on a new connection. Returns what the node sends until it has sent `size`
+    // bytes, closes the connection or the timeout passes.
     std::string talk(const std::string& bytes, std::size_t size,
                      std::chrono::milliseconds most = 5s) {
         auto c = connect();
--- a/tests/node/settings.h
+++ b/tests/node/settings.h
@@ -1,4 +1,4 @@
-// A small configuration as the platform would give it.
+// A small configuration in the format of the platform.
 #pragma once
 
 #include <string>
