--- a/tests/gateway/clock_test.cpp
+++ b/tests/gateway/clock_test.cpp
@@ -1,4 +1,4 @@
-// What a step of the wall clock does to keys and to hosts' starts while the gateway runs: nothing.
+// A step of the wall clock while the gateway runs does not change how long keys are accepted.
 #include <stdlib.h>
 
 #include "tests/gateway/key_folder.h"
@@ -7,7 +7,7 @@
 using namespace key_test;
 
 namespace {
-// The table of this process: the fault injection is linked into this test.
+// The fault table of this process: the fault injection is linked into this test.
 faults::SharedTable& steps() {
     static faults::SharedTable table;
     ::setenv(faults::table_variable, table.file().c_str(), 1);
@@ -15,19 +15,19 @@
 }
 }  // namespace
 
-TEST(WallClock, AStepEndsNoKeyBeforeItsSpanIsOver) {
+TEST(WallClock, AStepEndsNoKeyBeforeItsCutoff) {
     steps()->wall_step_us = 0;
     Keys r;
     const std::string key = r.issue("birds", now() + UnixTime(600'000));
     TestGateway g(r.options());
     EXPECT_EQ(status(g.talk(with(key))), 200);
     steps()->wall_step_us = 3'600'000'000;
-    EXPECT_EQ(status(g.talk(with(key))), 200) << "an hour ahead";
+    EXPECT_EQ(status(g.talk(with(key))), 200) << "the wall clock is an hour ahead";
     steps()->wall_step_us = 0;
-    EXPECT_EQ(status(g.talk(with(key))), 200) << "and back";
+    EXPECT_EQ(status(g.talk(with(key))), 200) << "the wall clock is back at the true time";
 }
 
-TEST(WallClock, AStepBackServesNoKeyBeyondItsCutoff) {
+TEST(WallClock, AStepBackServesNoKeyAfterItsCutoff) {
     steps()->wall_step_us = 0;
     Keys r;
     const std::string key = r.issue("birds", now() + UnixTime(1'000));
--- a/tests/gateway/drain_test.cpp
+++ b/tests/gateway/drain_test.cpp
@@ -1,4 +1,4 @@
-// What is owed to clients while the HTTP gateway ends: everything that its machine accepted before.
+// A draining HTTP gateway answers every request that the system received before the drain.
 #include <netinet/in.h>
 #include <sys/socket.h>
 
@@ -7,7 +7,7 @@
 using namespace rig;
 
 namespace {
-// A client whose bytes are in the system before the gateway looks.
+// Returns a client socket whose bytes are in the gateway's socket before the gateway reads.
 event::Fd raw(int port, const std::string& bytes) {
     event::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in at{};
@@ -36,7 +36,7 @@
 }
 }  // namespace
 
-TEST(HttpDrain, ConnectionsThatWaitInTheQueueAreAnswered) {
+TEST(HttpDrain, ConnectionsInTheAcceptQueueAreAnswered) {
     TestGateway g;
     std::vector<event::Fd> clients;
     for (int i = 0; i < 4; ++i)
@@ -50,18 +50,18 @@
     }
 }
 
-TEST(HttpDrain, RequestsBehindOneInHandAreAnsweredAndTheConnectionThenEnds) {
+TEST(HttpDrain, PipelinedRequestsAreAnsweredBeforeTheConnectionCloses) {
     TestGateway g;
     const event::Fd client =
         raw(g.instance->port(), keep_alive("/mine") + keep_alive("/mine") + keep_alive("/mine"));
     ASSERT_TRUE(g.run([&] { return g.requests() >= 1; }));
     bool done = false;
     g.instance->drain(3s, [&] { done = true; });
-    EXPECT_TRUE(g.run([&] { return done; }, 2s)) << "it does not wait for its whole time";
+    EXPECT_TRUE(g.run([&] { return done; }, 2s)) << "the drain ends before its timeout";
     EXPECT_EQ(answers(received(client)), 3);
 }
 
-TEST(HttpDrain, AnAnswerThatIsStillBeingTakenIsNotCutOff) {
+TEST(HttpDrain, AResponseInTransferIsNotTruncated) {
     TestGateway g;
     const std::string body(2 * 1024 * 1024, 'x');
     g.hosts[0]->respond = [&](ScriptedHost::Peer& p, const std::string&) {
--- a/tests/gateway/fleet_test.cpp
+++ b/tests/gateway/fleet_test.cpp
@@ -1,5 +1,5 @@
-// Discovery over HTTP, messages between instances, accounts' sets and limits of connections, on
-// real sockets.
+// Discovery over HTTP, messages between instances, account subsets and connection limits, on real
+// sockets.
 #include <arpa/inet.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -19,7 +19,7 @@
 }
 }  // namespace
 
-TEST(Discovery, ListsAreFollowedAndTheLastStaysWhileItIsAway) {
+TEST(Discovery, ChangedListsAreAppliedAndTheLastIsKeptDuringAnOutage) {
     event::Loop loop;
     config::Config config;
     std::vector<std::vector<EndpointEntry>> lists;
@@ -46,7 +46,7 @@
     ASSERT_TRUE(run([&] { return lists.size() == 1; }));
     EXPECT_EQ(lists[0][0].id, "127.0.0.1:81");
     run([end = event::Loop::clock() + 100ms] { return event::Loop::clock() > end; });
-    EXPECT_EQ(lists.size(), 1u) << "the same list is not news";
+    EXPECT_EQ(lists.size(), 1u) << "an unchanged list is not reported";
     service->set("127.0.0.1:82", {"DRAINING", "a", "", 0, 0});
     ASSERT_TRUE(run([&] { return lists.size() == 2; }));
     EXPECT_EQ(lists[1].size(), 2u);
@@ -54,7 +54,7 @@
     service.reset();
     ASSERT_TRUE(run([&] { return unreachable == 1; }));
     run([end = event::Loop::clock() + 100ms] { return event::Loop::clock() > end; });
-    EXPECT_EQ(unreachable, 1) << "told once";
+    EXPECT_EQ(unreachable, 1) << "one report per outage";
     EXPECT_EQ(lists.size(), 2u);
     EXPECT_EQ(bad, 0);
 }
@@ -97,8 +97,8 @@
     EXPECT_EQ(dropped[static_cast<std::size_t>(peers::DropReason::foreign_protocol)], 2u);
 }
 
-TEST(Fleet, AnAccountOutsideThisInstancesSetIsAnswered421) {
-    // One of two instances for each account; which one follows from the name alone.
+TEST(Fleet, AnAccountOutsideTheInstancesSubsetIsAnswered421) {
+    // Each account belongs to one of the two instances. Its name alone determines which one.
     Options o;
     const std::string net = "127.210." + std::to_string(getpid() % 250);
     o.more = "peers { rank: 0 account_spread: 1 peer { rank: 0 address: \"" + net +
@@ -120,7 +120,7 @@
     EXPECT_LT(here, 8);
 }
 
-TEST(Fleet, BeyondItsConnectionsAHostGetsNothing) {
+TEST(Fleet, AHostGetsNoMoreThanItsMaximumOfConnections) {
     Options o;
     o.listen = "";
     o.hosts = 1;
--- a/tests/gateway/host_test.cpp
+++ b/tests/gateway/host_test.cpp
@@ -1,4 +1,4 @@
-// Misbehaving hosts, end to end: checked by what scripted hosts and clients receive.
+// Misbehaving hosts, end to end, checked by what scripted hosts and clients receive.
 #include <fcntl.h>
 #include <sys/resource.h>
 
@@ -15,7 +15,7 @@
 }
 }  // namespace
 
-TEST(Hosts, ARejectionIsRetriedElsewhereAndAPlain503MayHaveRun) {
+TEST(Hosts, ARejectionIsRetriedOnAnotherHostAndAPlain503IsNot) {
     Options o;
     o.hosts = 2;
     TestGateway g(o);
@@ -26,7 +26,7 @@
                                : complete_response);
         };
     EXPECT_EQ(status(g.talk(post("/a"))), 200)
-        << "rejected, so even a non-idempotent one is retried";
+        << "a rejected request is retried even if it is not idempotent";
     EXPECT_EQ(g.requests(), 2u);
     EXPECT_TRUE(g.hosts[0]->bytes.find("Silverreach-Attempt: 1") != std::string::npos ||
                 has(g.hosts[1]->bytes, "Silverreach-Attempt: 1"));
@@ -38,7 +38,7 @@
     const std::string answer = plain.talk(post("/a"));
     EXPECT_EQ(status(answer), 502) << answer;
     EXPECT_TRUE(has(answer, "bad-answer"));
-    EXPECT_EQ(plain.requests(), 1u) << "it may have run";
+    EXPECT_EQ(plain.requests(), 1u) << "the host may have executed the request";
 }
 
 TEST(Hosts, AnIdempotentRetryCarriesTheSameKeyAndRequestId) {
@@ -63,7 +63,8 @@
     TestGateway without(o);
     for (auto& h : without.hosts)
         h->respond = [](ScriptedHost::Peer& p, const std::string&) { p.stream.reset(); };
-    EXPECT_EQ(status(without.talk(post("/keyed"))), 502) << "without a key it is not idempotent";
+    EXPECT_EQ(status(without.talk(post("/keyed"))), 502)
+        << "without a key the request is not idempotent";
     EXPECT_EQ(without.requests(), 1u);
 }
 
@@ -86,7 +87,7 @@
                 ASSERT_TRUE(g.run([&] { return c->over(); }));
                 EXPECT_TRUE(c->broken) << start << c->got;
                 EXPECT_FALSE(c->got.ends_with("0\r\n\r\n"));
-                EXPECT_EQ(g.requests(), 1u) << "its response had begun";
+                EXPECT_EQ(g.requests(), 1u) << "no retry after the response began";
             }
 }
 
@@ -108,7 +109,7 @@
     EXPECT_EQ(g.hosts[0]->peers.size(), 2u);
 }
 
-TEST(Hosts, BytesBehindAResponseAreNoResponseToTheNext) {
+TEST(Hosts, ExcessBytesAfterAResponseAreNotTheNextResponse) {
     TestGateway g;
     g.hosts[0]->respond = [](ScriptedHost::Peer& p, const std::string&) {
         p.stream.write(std::string(complete_response) + complete_response);
@@ -118,11 +119,11 @@
     EXPECT_EQ(g.hosts[0]->peers.size(), 2u);
 }
 
-TEST(Hosts, AnEarlyResponseEndsTheConnectionNotTheRequest) {
+TEST(Hosts, AnEarlyResponseIsForwardedBeforeTheBodyIsSent) {
     Options o;
     o.listen = "max_body_bytes: 33554432";
     TestGateway g(o);
-    // Answers on the first bytes and reads nothing more: most of the body never leaves the gateway.
+    // Responds to the first bytes and stops reading, so most of the body never leaves the gateway.
     struct Early : event::StreamOwner {
         std::unique_ptr<event::Stream> stream;
         void on_data(std::string_view) override {
@@ -149,7 +150,7 @@
     EXPECT_EQ(status(answer), 413) << answer.substr(0, 200);
 }
 
-TEST(Hosts, AMalformedResponseIsABadGateway) {
+TEST(Hosts, AMalformedResponseIsAnswered502) {
     for (const char* bad :
          {"hello\r\n\r\n", "HTTP/1.1 200 OK\nContent-Length: 2\n\nok\r\n\r\n",
           "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nok",
@@ -176,14 +177,14 @@
         EXPECT_EQ(status(answer), 504) << answer;
         EXPECT_LT(event::Loop::clock() - begin, 400ms + 150ms);
         EXPECT_EQ(has(answer, "no-time"), path != "/safe")
-            << "only a safe one is rejected: " << answer;
+            << "only a safe request is rejected: " << answer;
         const std::size_t sent = g.requests();
         g.run([] { return false; }, 300ms);
         EXPECT_EQ(g.requests(), sent);
     }
 }
 
-TEST(Hosts, RefusedConnectionsAreKnownNotToHaveRun) {
+TEST(Hosts, RefusedConnectionsAreRetriedEvenIfNotIdempotent) {
     Options o;
     o.hosts = 3;
     TestGateway g(o);
@@ -191,7 +192,7 @@
     g.hosts[1]->listener.stop();
     for (int i = 0; i < 10; ++i)
         EXPECT_EQ(status(g.talk(post("/a"))), 200) << i;
-    EXPECT_EQ(g.hosts[2]->requests.size(), 10u) << "each once";
+    EXPECT_EQ(g.hosts[2]->requests.size(), 10u) << "each request runs once";
 }
 
 TEST(Hosts, NothingIsForwardedForADisconnectedClient) {
@@ -223,19 +224,20 @@
     EXPECT_EQ(g.hosts[0]->requests.size(), 10u);
     g.write("hosts.json", R"({"clusterName":"hosts","endpoints":[{"lbEndpoints":[{}]}]})");
     g.run([] { return false; }, 600ms);
-    EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200) << "the last good list stays";
+    EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200) << "the last valid list stays in use";
 }
 
-TEST(Scale, TenThousandIdleClientsAndOneThatWorks) {
+TEST(Scale, TenThousandIdleClientsDoNotBlockAnActiveOne) {
     rlimit limit{};
     getrlimit(RLIMIT_NOFILE, &limit);
     const rlimit before = limit;
     limit.rlim_cur = limit.rlim_max;
     setrlimit(RLIMIT_NOFILE, &limit);
-    // Both ends live in this process; with fewer descriptors than that the test takes as many as it
-    // may.
+    // Both ends of each connection use a descriptor of this process. If the limit is lower, the
+    // test opens as many clients as the limit permits.
     const std::size_t wanted = std::min<std::size_t>(10'000, limit.rlim_cur / 2 - 200);
-    if (wanted < 10'000) std::cout << "descriptors for " << wanted << " clients only\n";
+    if (wanted < 10'000)
+        std::cout << "the descriptor limit permits only " << wanted << " clients\n";
     Options o;
     o.listen = "max_connections: 20000";
     TestGateway g(o);
@@ -253,30 +255,33 @@
     setrlimit(RLIMIT_NOFILE, &before);
 }
 
-TEST(Scale, DescriptorsUsedUpCloseNewClientsAndServeTheOld) {
+TEST(Scale, WithoutDescriptorsNewClientsAreClosedAndOldOnesServed) {
     TestGateway g;
     auto kept = g.connect();
     kept->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     ASSERT_TRUE(g.run([&] { return has(kept->got, "ok"); }));
-    auto fresh = g.connect();  // its own end is open; the gateway's comes when nothing is left
+    auto fresh =
+        g.connect();  // the client's end is open; the gateway accepts when no descriptor is left
     rlimit before{};
     getrlimit(RLIMIT_NOFILE, &before);
-    // All numbers below the lowest free one are in use: from here on the next one is refused.
+    // All descriptors below the lowest free one are in use, so opening another one fails from here
+    // on.
     event::Fd lowest(open("/dev/null", O_RDONLY));
     rlimit none = before;
     none.rlim_cur = static_cast<rlim_t>(lowest.get());
     lowest.reset();
     setrlimit(RLIMIT_NOFILE, &none);
-    EXPECT_TRUE(g.run([&] { return fresh->over(); })) << "closed at once, not left waiting";
+    EXPECT_TRUE(g.run([&] { return fresh->over(); }))
+        << "the new client is closed instead of left waiting";
     kept->got.clear();
     kept->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     EXPECT_TRUE(g.run([&] { return has(kept->got, "ok"); }))
-        << "an idle connection to the host serves it";
+        << "an idle connection to the host serves the request";
     setrlimit(RLIMIT_NOFILE, &before);
     EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
 }
 
-TEST(Scale, MoreClientsThanConfiguredAreClosedAtOnce) {
+TEST(Scale, ClientsAboveTheConnectionLimitAreClosed) {
     Options o;
     o.listen = "max_connections: 2";
     TestGateway g(o);
@@ -288,7 +293,7 @@
     EXPECT_FALSE(b->over());
 }
 
-TEST(Hosts, NothingBeginsForAClientThatDisconnectsWhileTheConnectionIsPending) {
+TEST(Hosts, NothingIsSentForAClientThatDisconnectsDuringTheConnect) {
     test_support::LateHost late;
     Options o;
     o.hosts = 0, o.other_port = late.port(), o.connect_ms = 3000, o.deadline_ms = 3000;
@@ -299,6 +304,7 @@
         g.pass(50ms);
     }
     g.pass(10ms);
-    // One that still waits comes up after a second.
+    // The system repeats the handshake after a second, so a connection that is still pending would
+    // be established within this time.
     EXPECT_FALSE(g.run([&] { return late.bytes() > 0; }, 1500ms));
 }
--- a/tests/gateway/http_test.cpp
+++ b/tests/gateway/http_test.cpp
@@ -1,12 +1,12 @@
-// The HTTP front against raw clients: what RFC 9110 and 9112 ask for, and what must never reach a
-// host.
+// The HTTP front end with raw clients: the rules of RFC 9110 and 9112, and requests that must never
+// reach a host.
 #include <set>
 
 #include "rig.h"
 
 using namespace rig;
 
-TEST(Front, ARequestGoesToAHostAndItsAnswerBack) {
+TEST(Front, ForwardsARequestAndItsResponse) {
     TestGateway g;
     const std::string answer = g.talk(TestGateway::get(
         "/a?x=1",
@@ -15,7 +15,7 @@
     EXPECT_TRUE(answer.ends_with("\r\n\r\nok"));
     EXPECT_TRUE(has(answer, "X-Request-Id: r-1\r\n"));
     EXPECT_TRUE(has(answer, "Via: 1.1 silverreach-0\r\n"));
-    EXPECT_TRUE(has(answer, "Date: ")) << "the host sent none";
+    EXPECT_TRUE(has(answer, "Date: ")) << "the gateway adds a Date field if the host sent none";
     ASSERT_EQ(g.requests(), 1u);
     const std::string& request = g.hosts[0]->requests[0];
     EXPECT_TRUE(request.starts_with("GET /a?x=1 HTTP/1.1\r\nHost: h\r\n"));
@@ -28,9 +28,9 @@
         EXPECT_FALSE(has(request, gone)) << gone;
 }
 
-// Found at first contact: every request of a process had the same name, since the generator was
-// copied at each call.
-TEST(Front, IdsDifferOverRequestsConnectionsAndRestarts) {
+// Guards against equal request ids: when each call copied the generator, all requests of a process
+// had the same id.
+TEST(Front, IdsDifferAcrossRequestsConnectionsAndRestarts) {
     std::set<std::string> requests, traces;
     constexpr int lives = 3, connections = 4, each = 25;
     const auto after = [](const std::string& text, std::string_view name, std::size_t size) {
@@ -58,7 +58,7 @@
 
 TEST(Front, PipelinedRequestsAreAnsweredInTheirOrder) {
     TestGateway g;
-    // The first answer is the last to be ready.
+    // The host sends the first response last.
     g.hosts[0]->respond = [&](ScriptedHost::Peer& p, const std::string& r) {
         const std::string path = r.substr(4, r.find(' ', 4) - 4);
         g.loop.after(path == "/a/0" ? 60ms : 1ms, [&p, path] {
@@ -79,7 +79,7 @@
     }
 }
 
-TEST(Front, FormsOfBodiesBothWays) {
+TEST(Front, BodyFramingInBothDirections) {
     TestGateway g;
     g.hosts[0]->respond = [](ScriptedHost::Peer& p, const std::string&) {
         p.stream.write(
@@ -93,11 +93,10 @@
     EXPECT_TRUE(has(got, "Transfer-Encoding: chunked\r\n"));
     EXPECT_TRUE(got.ends_with("3\r\nabc\r\n0\r\nT: v\r\n\r\n")) << got;
     EXPECT_TRUE(has(g.hosts[0]->requests[0], "Content-Length: 2\r\n"))
-        << "buffered, so its length is known";
+        << "the body is buffered, so its length is known";
     EXPECT_TRUE(g.hosts[0]->requests[0].ends_with("\r\n\r\nhi"));
     got = g.talk(TestGateway::get("/a"));
-    EXPECT_TRUE(got.ends_with("3\r\nabc\r\n0\r\n\r\n"))
-        << "no trailers for a client that did not ask";
+    EXPECT_TRUE(got.ends_with("3\r\nabc\r\n0\r\n\r\n")) << "no trailers without TE: trailers";
     got = g.talk("GET /a HTTP/1.0\r\n\r\n");
     EXPECT_TRUE(got.ends_with("\r\n\r\nabc")) << got;
     EXPECT_FALSE(has(got, "chunked"));
@@ -115,7 +114,7 @@
     EXPECT_TRUE(got.ends_with("a\r\nto the end\r\n0\r\n\r\n")) << got;
 }
 
-TEST(Front, ContinueIsSaidBeforeTheBodyAndOnlyWhereItIsWanted) {
+TEST(Front, ContinueIsSentOnlyForAnExpectedBodyThatIsAccepted) {
     TestGateway g;
     auto c = g.connect();
     c->stream.write(
@@ -133,7 +132,7 @@
         417);
 }
 
-TEST(Front, NothingThatIsBadReachesAHost) {
+TEST(Front, InvalidRequestsAreNeverForwarded) {
     Options o;
     o.listen = "max_target_bytes: 100 max_head_bytes: 1000 max_body_bytes: 10";
     TestGateway g(o);
@@ -173,15 +172,16 @@
         const std::string answer = g.talk(bytes);
         EXPECT_EQ(status(answer), expected) << bytes << "\n" << answer;
         EXPECT_TRUE(has(answer, "application/problem+json")) << bytes;
-        EXPECT_EQ(answer.find("HTTP/1.1", 8), std::string::npos) << "one answer: " << answer;
+        EXPECT_EQ(answer.find("HTTP/1.1", 8), std::string::npos)
+            << "exactly one response: " << answer;
     }
     EXPECT_TRUE(has(g.talk(cases[20].second), "Allow: GET, PUT, POST, HEAD\r\n"))
         << g.talk(cases[20].second);
-    EXPECT_EQ(g.hosts[0]->bytes, "") << "no byte of it";
+    EXPECT_EQ(g.hosts[0]->bytes, "") << "the host receives no byte of an invalid request";
     EXPECT_EQ(status(g.talk(TestGateway::get("/mine", "X-Key: k1\r\n"))), 200);
 }
 
-TEST(Front, SlowSendersAreAnswered408AndIdleOnesClosed) {
+TEST(Front, SlowRequestsGet408AndIdleConnectionsAreClosed) {
     Options o;
     o.listen = "head_ms: 300 body_ms: 300 idle_ms: 400";
     TestGateway g(o);
@@ -191,7 +191,7 @@
     EXPECT_EQ(g.requests(), 0u);
 }
 
-TEST(Front, HalfClosedClientsLeaveOrWaitAsConfigured) {
+TEST(Front, HalfClosedClientsAreAnsweredOnlyIfConfigured) {
     for (const bool waits : {false, true}) {
         Options o;
         if (waits) o.listen = "half_closed: ANSWER";
@@ -208,7 +208,7 @@
     }
 }
 
-TEST(Front, AClientThatTakesNothingPausesTheHostAndIsCut) {
+TEST(Front, AStalledClientCausesBackPressureAndIsClosed) {
     Options o;
     o.listen = "stalled_ms: 600";
     TestGateway g(o);
@@ -227,14 +227,14 @@
     c->stream.read(false);
     c->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     EXPECT_TRUE(g.run([&] { return g.hosts[0]->ended > 0; }, 4s))
-        << "the host's connection ends with the client's";
-    EXPECT_LT(written, size / 2) << "back pressure reached the host";
+        << "the host's connection is closed with the client's";
+    EXPECT_LT(written, size / 2) << "back pressure reaches the host";
     c->stream.read(true);
     g.run([&] { return c->over(); });
     EXPECT_TRUE(c->broken || c->got.size() < size);
 }
 
-TEST(Front, TheDescriptionIsReplacedAndABadOneLeavesTheOld) {
+TEST(Front, AReloadReplacesTheDescriptionUnlessItIsInvalid) {
     TestGateway g;
     bool held = false;
     g.hosts[0]->respond = [&](ScriptedHost::Peer& p, const std::string&) {
@@ -250,7 +250,8 @@
         "{}}}\n");
     EXPECT_TRUE(g.reload());
     g.run([&] { return c->over(); });
-    EXPECT_EQ(status(c->got), 200) << "in hand, it ends under the one it began with";
+    EXPECT_EQ(status(c->got), 200)
+        << "a request in flight completes under the previous description";
     EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 404);
     EXPECT_EQ(status(g.talk(TestGateway::get("/new"))), 200);
     g.describe(
@@ -262,7 +263,7 @@
     EXPECT_EQ(status(g.talk(TestGateway::get("/worse"))), 404);
 }
 
-TEST(Front, RefusalsSayWhyAndWhenToComeAgain) {
+TEST(Front, RejectionsStateTheReasonAndARetryDelay) {
     TestGateway g;
     std::string answer;
     for (int i = 0; i < 4 && status(answer) != 429; ++i)
@@ -272,7 +273,7 @@
     EXPECT_TRUE(has(answer, "Retry-After: "));
 }
 
-TEST(Pipelined, ARequestBehindASlowOneKeepsOnlyWhatItsClientHasLeft) {
+TEST(Pipelined, WaitingBehindASlowRequestCountsAgainstTheDeadline) {
     TestGateway g;
     g.hosts[0]->respond = [&](ScriptedHost::Peer& p, const std::string&) {
         g.loop.after(400ms,
@@ -282,12 +283,12 @@
     const std::string one = "GET /mine HTTP/1.1\r\nHost: h\r\nX-Key: k1\r\n";
     c->stream.write(one + "\r\n" + one + "X-Deadline-Ms: 300\r\n\r\n");
     g.run([&] { return c->got.find("HTTP/1.1 504") != std::string::npos; }, 1500ms);
-    EXPECT_EQ(g.requests(), 1u) << "the second one's time was over when its turn came";
+    EXPECT_EQ(g.requests(), 1u) << "the second request's deadline passes while it is queued";
     EXPECT_TRUE(has(c->got, "HTTP/1.1 200")) << c->got;
     EXPECT_TRUE(has(c->got, "HTTP/1.1 504")) << c->got;
 }
 
-TEST(Pipelined, AClientThatGoesBehindManyRequestsIsSeen) {
+TEST(Pipelined, ADisconnectBehindManyRequestsIsDetected) {
     TestGateway g;
     std::size_t begun = 0;
     g.hosts[0]->respond = [&](ScriptedHost::Peer& p, const std::string&) {
@@ -309,10 +310,10 @@
     g.pass(100ms);
     const std::size_t before = begun;
     g.pass(600ms);
-    EXPECT_EQ(begun, before) << "nothing begins for it more than 0.1 s after its close";
+    EXPECT_EQ(begun, before) << "no request begins more than 0.1 s after the disconnect";
 }
 
-TEST(Pipelined, NoFurtherAttemptBeginsForAClientThatHasGoneBehindItsRequests) {
+TEST(Pipelined, NoRetryBeginsAfterADisconnectBehindManyRequests) {
     Options o;
     o.hosts = 2;
     TestGateway g(o);
@@ -331,7 +332,7 @@
     g.pass(30ms);
     c.reset();
     g.pass(120ms);
-    asked[0]->stream.reset();  // the attempt may have run, and the request may be repeated
+    asked[0]->stream.reset();  // the attempt may have run, but the request is idempotent
     g.pass(300ms);
     EXPECT_EQ(asked.size(), 1u);
 }
--- a/tests/gateway/key_folder.h
+++ b/tests/gateway/key_folder.h
@@ -1,4 +1,4 @@
-// A registry of keys in a folder of its own, and what a client with a key asks.
+// A registry of keys in a temporary folder, and the requests of a client with a key.
 #pragma once
 
 #include "registry/store.h"
--- a/tests/gateway/keys_test.cpp
+++ b/tests/gateway/keys_test.cpp
@@ -1,10 +1,10 @@
-// Keys from a registry that changes while the gateway runs.
+// Keys of a registry that changes while the gateway runs.
 #include "tests/gateway/key_folder.h"
 
 using namespace key_test;
 
 namespace {
-// Checks repeatedly, with the loop running in between.
+// Checks the condition up to 100 times and runs the loop in between. Returns whether it held.
 bool eventually(TestGateway& g, const std::function<bool()>& holds) {
     for (int i = 0; i < 100; ++i) {
         if (holds()) return true;
@@ -21,13 +21,13 @@
     EXPECT_EQ(status(g.talk(with(first))), 200);
     const std::string second = keys.rotate(first, UnixTime(3'600'000));
     ASSERT_TRUE(eventually(g, [&] { return status(g.talk(with(second))) == 200; }))
-        << "within one check of the folder";
-    EXPECT_EQ(status(g.talk(with(first))), 200) << "both work in the overlap";
+        << "the next check of the registry folder finds the new key";
+    EXPECT_EQ(status(g.talk(with(first))), 200) << "the old key is accepted during the overlap";
     keys.make(RevokeKey{std::string(parse_key(first).id), now(), RevocationCause::leaked});
     ASSERT_TRUE(eventually(g, [&] { return status(g.talk(with(first))) == 401; }));
     const std::string answer = g.talk(with(first));
     EXPECT_TRUE(has(answer, "the key has ended"));
-    EXPECT_FALSE(has(answer, first.substr(14))) << "none of the key's text in the response";
+    EXPECT_FALSE(has(answer, first.substr(14))) << "the response does not contain the key's secret";
     EXPECT_EQ(status(g.talk(with(second))), 200);
     const std::size_t received = g.requests();
     std::string mistyped = second;
@@ -35,7 +35,7 @@
     EXPECT_TRUE(has(g.talk(with(mistyped)), "mistyped"));
     EXPECT_TRUE(has(g.talk(with("k1")), "this is no key"));
     EXPECT_EQ(status(g.talk(TestGateway::get("/mine?X-Key=" + second))), 401)
-        << "not where the description has it";
+        << "the description expects the key in a header";
     EXPECT_EQ(g.requests(), received);
 }
 
@@ -51,7 +51,7 @@
         for (const std::string& key : {a, b, c})
             served += status(g.talk(with(key))) == 200;
     EXPECT_GE(served, 1);
-    EXPECT_LE(served, 2) << "a burst of two for all of them together";
+    EXPECT_LE(served, 2) << "the burst of two is shared by all keys";
 }
 
 TEST(Keys, AnAccountOfAnUnknownPlanIsRejected) {
@@ -76,7 +76,7 @@
     ASSERT_TRUE(eventually(g, [&] { return status(g.talk(with(key))) == 401; }));
     copy("old-log", "log"), copy("old-mark", "mark");
     g.run([] { return false; }, 300ms);
-    EXPECT_EQ(status(g.talk(with(key))), 401) << "an older one forgets no revocation";
+    EXPECT_EQ(status(g.talk(with(key))), 401) << "an older registry does not undo a revocation";
     std::ofstream(keys.folder + "/log") << "rubbish";
     std::ofstream(keys.folder + "/mark") << "rubbish";
     g.run([] { return false; }, 300ms);
--- a/tests/gateway/rig.h
+++ b/tests/gateway/rig.h
@@ -1,5 +1,5 @@
-// A gateway in this process, hosts that a test scripts byte by byte, and raw clients; all on one
-// loop on loopback.
+// A gateway in the test process, HTTP hosts whose bytes a test scripts, and raw clients. All run on
+// one event loop over loopback.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 using namespace std::chrono_literals;
 using test_support::Client;
 
-// A host: what it received, and what it does with it.
+// A host that records what it receives and responds through a callback.
 struct ScriptedHost : event::StreamOwner {
     struct Peer : event::StreamOwner {
         ScriptedHost& host;
@@ -29,7 +29,7 @@
         Peer(ScriptedHost& h, event::Fd fd) : host(h), stream(h.loop, std::move(fd), *this) {}
         void on_data(std::string_view b) override {
             got.append(b), host.bytes.append(b);
-            // A request is whole when its head and the bytes that Content-Length names are here.
+            // A request is complete with its head and the number of bytes in Content-Length.
             while (true) {
                 const auto end = got.find("\r\n\r\n");
                 if (end == std::string::npos) return;
@@ -46,7 +46,7 @@
         void on_broken(int) override { ++host.ended; }
     };
     event::Loop& loop;
-    std::string bytes;  // all that ever came
+    std::string bytes;  // received on all connections
     std::vector<std::string> requests;
     int ended = 0;
     std::function<void(Peer&, const std::string&)> respond = [](Peer& p, const std::string&) {
@@ -72,7 +72,7 @@
     std::string listen, more, description;
     bool accounts = true;
     int connect_ms = 200, deadline_ms = 1000;
-    int other_port = 0;  // of a host that is not scripted here
+    int other_port = 0;  // of a host on loopback that is not in `hosts`; 0: none
 };
 
 class TestGateway : public test_support::OnLoop {
@@ -154,8 +154,8 @@
         return good;
     }
     std::unique_ptr<Client> connect() { return std::make_unique<Client>(loop, instance->port()); }
-    // All that comes back until the gateway closes, or `marks` of "HTTP/1.1" have come with their
-    // bodies at rest.
+    // Sends the bytes on a new connection. Returns what the gateway sends until it closes the
+    // connection or the timeout passes.
     std::string talk(const std::string& bytes, std::chrono::milliseconds most = 5s) {
         auto c = connect();
         c->stream.write(bytes);
