--- a/tests/node/discovery_watch_test.cpp
+++ b/tests/node/discovery_watch_test.cpp
@@ -7,15 +7,15 @@
 using namespace node_test;
 
 namespace {
-const std::string one =
+const std::string endpoint_json =
     R"({"uid":"s-1","endpoint":"127.0.0.1:2","az":"a","model":"m","pod_group":3,"state":"ready","capacity_hint":1,"boot_ms":0})";
 
-struct Watching : test_support::OnLoop {
+struct WatchHarness : test_support::OnLoop {
     Discovery discovery{loop};
     std::vector<platform::TargetList> lists;
     std::unique_ptr<discovery::DiscoveryWatch> watch;
-    explicit Watching(Micros initial_backoff = 10ms, Micros first_list = 10s,
-                      Micros stable_after = 0s) {
+    explicit WatchHarness(Micros initial_backoff = 10ms, Micros first_list = 10s,
+                          Micros stable_after = 0s) {
         discovery::DiscoveryWatch::Callbacks callbacks;
         callbacks.on_list = [this](platform::TargetList list) { lists.push_back(std::move(list)); };
         callbacks.on_unavailable = [](const discovery::DiscoveryError&) {};
@@ -29,13 +29,13 @@
         watch = std::make_unique<discovery::DiscoveryWatch>(
             loop, config::Endpoint{"127.0.0.1", discovery.listener.port(), false}, 41,
             std::move(callbacks), timeouts);
-        EXPECT_TRUE(requested(1));
+        EXPECT_TRUE(wait_for_requests(1));
     }
-    bool requested(std::size_t n) {
-        return run([&] { return discovery.asked.size() == n; }, 2s);
+    bool wait_for_requests(std::size_t count) {
+        return run([&] { return discovery.asked.size() == count; }, 2s);
     }
-    bool received(std::size_t n) {
-        return run([&] { return lists.size() == n; }, 2s);
+    bool wait_for_lists(std::size_t count) {
+        return run([&] { return lists.size() == count; }, 2s);
     }
 };
 const std::string complete_list_request = "GET /v1/endpoints?follow=1 HTTP/1.1";
@@ -46,115 +46,119 @@
     const std::string stream = "\r\n" + object + "\n\n" + object + "{}";
     for (std::size_t size = 1; size <= stream.size(); ++size) {
         platform::ObjectReader reader;
-        std::vector<std::string> got;
-        for (std::size_t at = 0; at < stream.size(); at += size) {
-            std::string_view piece = std::string_view(stream).substr(at, size);
+        std::vector<std::string> objects;
+        for (std::size_t offset = 0; offset < stream.size(); offset += size) {
+            std::string_view piece = std::string_view(stream).substr(offset, size);
             while (!piece.empty())
                 if (reader.read(piece) == platform::ObjectReader::Status::complete)
-                    got.push_back(reader.take());
+                    objects.push_back(reader.take());
         }
-        ASSERT_EQ(got, (std::vector<std::string>{object, object, "{}"})) << "in pieces of " << size;
+        ASSERT_EQ(objects, (std::vector<std::string>{object, object, "{}"}))
+            << "in pieces of " << size;
         EXPECT_TRUE(reader.is_between_objects());
     }
-    for (const char* bad : {"x", "]", "\"{}\"", "[{}]", "{\"uid\":\"s-\n"}) {
+    for (const char* malformed : {"x", "]", "\"{}\"", "[{}]", "{\"uid\":\"s-\n"}) {
         platform::ObjectReader reader;
-        std::string_view bytes = bad;
-        EXPECT_EQ(reader.read(bytes), platform::ObjectReader::Status::malformed) << bad;
+        std::string_view bytes = malformed;
+        EXPECT_EQ(reader.read(bytes), platform::ObjectReader::Status::malformed) << malformed;
     }
-    platform::ObjectReader small(100);
-    const std::string endless = "{" + std::string(200, ' ');
-    std::string_view bytes = endless;
-    EXPECT_EQ(small.read(bytes), platform::ObjectReader::Status::malformed);
+    platform::ObjectReader small_reader(100);
+    const std::string unterminated = "{" + std::string(200, ' ');
+    std::string_view bytes = unterminated;
+    EXPECT_EQ(small_reader.read(bytes), platform::ObjectReader::Status::malformed);
 }
 
 TEST(DiscoveryWatch, AcceptsAnIndentedListInSmallChunks) {
-    Watching w;
-    const std::string text =
-        "{\n  \"rev\": 42,\n  \"all\": false,\n  \"targets\": [\n    " + one + "\n  ]\n}\n";
+    WatchHarness harness;
+    const std::string text = "{\n  \"rev\": 42,\n  \"all\": false,\n  \"targets\": [\n    " +
+                             endpoint_json + "\n  ]\n}\n";
     for (std::size_t i = 0; i < text.size(); i += 7) {
-        w.discovery.say(*w.discovery.peers[0], text.substr(i, 7));
-        w.pass(1ms);
+        harness.discovery.say(*harness.discovery.peers[0], text.substr(i, 7));
+        harness.pass(1ms);
     }
-    ASSERT_TRUE(w.received(1));
-    EXPECT_EQ(w.lists[0].revision, 42);
-    EXPECT_EQ(w.discovery.asked.size(), 1u) << "a valid list causes no new request";
+    ASSERT_TRUE(harness.wait_for_lists(1));
+    EXPECT_EQ(harness.lists[0].revision, 42);
+    EXPECT_EQ(harness.discovery.asked.size(), 1u) << "a valid list causes no new request";
 }
 
 TEST(DiscoveryWatch, AMalformedListIsFollowedByARequestForTheCompleteList) {
-    for (const char* bad :
+    for (const char* malformed :
          {R"({"rev":42,"all":true,"targets":[{"uid":}]})", "noise", R"({"rev":"x"})"}) {
-        Watching w(60s);
-        w.discovery.say(Discovery::list(42, false, one));
-        ASSERT_TRUE(w.received(1));
-        w.discovery.say(bad);
-        ASSERT_TRUE(w.requested(2)) << "the next request follows without backoff after: " << bad;
-        EXPECT_EQ(w.discovery.asked[1], complete_list_request);
-        w.discovery.say(Discovery::list(43, true, one));
-        EXPECT_TRUE(w.received(2));
+        WatchHarness harness(60s);
+        harness.discovery.say(Discovery::list(42, false, endpoint_json));
+        ASSERT_TRUE(harness.wait_for_lists(1));
+        harness.discovery.say(malformed);
+        ASSERT_TRUE(harness.wait_for_requests(2))
+            << "the next request follows without backoff after: " << malformed;
+        EXPECT_EQ(harness.discovery.asked[1], complete_list_request);
+        harness.discovery.say(Discovery::list(43, true, endpoint_json));
+        EXPECT_TRUE(harness.wait_for_lists(2));
     }
 }
 
 TEST(DiscoveryWatch, AnOlderRevisionAndAnEmptyListAreAcceptedOnceConfirmed) {
-    for (const std::string& odd : {Discovery::list(17, true, one), Discovery::list(44, true, "")}) {
-        Watching w;
-        w.discovery.say(odd);
-        ASSERT_TRUE(w.requested(2));
-        EXPECT_EQ(w.discovery.asked[1], complete_list_request);
-        EXPECT_TRUE(w.lists.empty());
-        w.discovery.say(odd);
-        EXPECT_TRUE(w.received(1));
+    for (const std::string& implausible_list :
+         {Discovery::list(17, true, endpoint_json), Discovery::list(44, true, "")}) {
+        WatchHarness harness;
+        harness.discovery.say(implausible_list);
+        ASSERT_TRUE(harness.wait_for_requests(2));
+        EXPECT_EQ(harness.discovery.asked[1], complete_list_request);
+        EXPECT_TRUE(harness.lists.empty());
+        harness.discovery.say(implausible_list);
+        EXPECT_TRUE(harness.wait_for_lists(1));
     }
-    Watching w;
-    w.discovery.say(Discovery::list(17, false, one));
-    ASSERT_TRUE(w.requested(2));
-    w.discovery.say(Discovery::list(45, true, one));
-    ASSERT_TRUE(w.received(1));
-    EXPECT_EQ(w.lists[0].revision, 45) << "the complete list replaces the older revision";
+    WatchHarness harness;
+    harness.discovery.say(Discovery::list(17, false, endpoint_json));
+    ASSERT_TRUE(harness.wait_for_requests(2));
+    harness.discovery.say(Discovery::list(45, true, endpoint_json));
+    ASSERT_TRUE(harness.wait_for_lists(1));
+    EXPECT_EQ(harness.lists[0].revision, 45) << "the complete list replaces the older revision";
 }
 
 TEST(DiscoveryWatch, OnlyCompleteObjectsAndEmptyLinesCountAsActivity) {
-    Watching w;
-    w.discovery.say(Discovery::list(42, false, one));
-    ASSERT_TRUE(w.received(1));
+    WatchHarness harness;
+    harness.discovery.say(Discovery::list(42, false, endpoint_json));
+    ASSERT_TRUE(harness.wait_for_lists(1));
     for (int i = 0; i < 24; ++i) {  // empty lines count as activity
-        w.pass(50ms);
-        w.discovery.say("");
+        harness.pass(50ms);
+        harness.discovery.say("");
     }
-    EXPECT_EQ(w.discovery.asked.size(), 1u);
-    w.discovery.say(*w.discovery.peers[0], "{\"rev\":43,");
-    for (int i = 0; i < 60 && w.discovery.asked.size() == 1; ++i) {
-        w.discovery.say(*w.discovery.peers[0], "      ");
-        w.pass(50ms);
+    EXPECT_EQ(harness.discovery.asked.size(), 1u);
+    harness.discovery.say(*harness.discovery.peers[0], "{\"rev\":43,");
+    for (int i = 0; i < 60 && harness.discovery.asked.size() == 1; ++i) {
+        harness.discovery.say(*harness.discovery.peers[0], "      ");
+        harness.pass(50ms);
     }
-    ASSERT_EQ(w.discovery.asked.size(), 2u);
-    EXPECT_EQ(w.discovery.asked[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
+    ASSERT_EQ(harness.discovery.asked.size(), 2u);
+    EXPECT_EQ(harness.discovery.asked[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
 }
 
 TEST(DiscoveryWatch, ASilentServiceIsCalledAgainAfterTheFirstListTimeout) {
-    Watching w(10ms, 200ms);
-    ASSERT_TRUE(w.requested(2)) << "the watch is repeated after the first-list timeout";
-    ASSERT_TRUE(w.requested(3));
-    w.discovery.say(Discovery::list(42, false, one));
-    EXPECT_TRUE(w.received(1));
+    WatchHarness harness(10ms, 200ms);
+    ASSERT_TRUE(harness.wait_for_requests(2))
+        << "the watch is repeated after the first-list timeout";
+    ASSERT_TRUE(harness.wait_for_requests(3));
+    harness.discovery.say(Discovery::list(42, false, endpoint_json));
+    EXPECT_TRUE(harness.wait_for_lists(1));
 }
 
 TEST(DiscoveryWatch, AStableWatchThatEndsIsResumedWithoutBackoff) {
-    Watching w(60s);
-    w.discovery.say(Discovery::list(42, false, one));
-    ASSERT_TRUE(w.received(1));
-    w.discovery.peers[0]->stream.close();
-    ASSERT_TRUE(w.requested(2)) << "the next request follows without backoff";
-    EXPECT_EQ(w.discovery.asked[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
+    WatchHarness harness(60s);
+    harness.discovery.say(Discovery::list(42, false, endpoint_json));
+    ASSERT_TRUE(harness.wait_for_lists(1));
+    harness.discovery.peers[0]->stream.close();
+    ASSERT_TRUE(harness.wait_for_requests(2)) << "the next request follows without backoff";
+    EXPECT_EQ(harness.discovery.asked[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
 }
 
 TEST(DiscoveryWatch, AServiceThatEndsEachWatchIsCalledWithBackoff) {
-    Watching w(100ms, 10s, 10s);
-    w.discovery.first = Discovery::list(42, false, one);
-    const auto from = event::Loop::clock();
-    w.discovery.say(w.discovery.first);
+    WatchHarness harness(100ms, 10s, 10s);
+    harness.discovery.first = Discovery::list(42, false, endpoint_json);
+    const auto start = event::Loop::clock();
+    harness.discovery.say(harness.discovery.first);
     for (std::size_t n = 1; n <= 4; ++n) {
-        ASSERT_TRUE(w.received(n));
-        w.discovery.peers.back()->stream.close();
+        ASSERT_TRUE(harness.wait_for_lists(n));
+        harness.discovery.peers.back()->stream.close();
     }
-    EXPECT_GE(event::Loop::clock() - from, 500ms) << "backoffs of 100, 200 and 200 ms";
+    EXPECT_GE(event::Loop::clock() - start, 500ms) << "backoffs of 100, 200 and 200 ms";
 }
--- a/tests/node/rig.h
+++ b/tests/node/rig.h
@@ -28,23 +28,26 @@
     struct Peer : event::StreamOwner {
         Accepting& owner;
         event::Stream stream;
-        std::string got;
+        std::string received;
         bool over = false;
-        Peer(Accepting& o, event::Fd fd) : owner(o), stream(o.loop, std::move(fd), *this) {}
-        void on_data(std::string_view b) override { got.append(b), owner.data(*this); }
-        void on_end() override { over = true, stream.close(), ++owner.ended; }
-        void on_broken(int) override { over = true, ++owner.ended; }
+        Peer(Accepting& server, event::Fd fd)
+            : owner(server), stream(server.loop, std::move(fd), *this) {}
+        void on_data(std::string_view bytes) override {
+            received.append(bytes), owner.on_received(*this);
+        }
+        void on_end() override { over = true, stream.close(), ++owner.ended_count; }
+        void on_broken(int) override { over = true, ++owner.ended_count; }
     };
     event::Loop& loop;
     std::vector<std::unique_ptr<Peer>> peers;
-    int ended = 0;
-    std::function<void(Peer&)> data;
+    int ended_count = 0;
+    std::function<void(Peer&)> on_received;
     event::Listener listener;
-    Accepting(event::Loop& l, std::function<void(Peer&)> on_data)
-        : loop(l),
-          data(std::move(on_data)),
+    Accepting(event::Loop& event_loop, std::function<void(Peer&)> on_peer_data)
+        : loop(event_loop),
+          on_received(std::move(on_peer_data)),
           listener(
-              l, "127.0.0.1", 0, false, [] { return true; },
+              event_loop, "127.0.0.1", 0, false, [] { return true; },
               [this](event::Fd fd, const std::string&) {
                   peers.push_back(std::make_unique<Peer>(*this, std::move(fd)));
               }) {}
@@ -67,20 +70,21 @@
 
 struct Host : Accepting {
     std::vector<Words> commands;
-    std::function<void(Peer&, const Words&)> respond = [](Peer& p, const Words& w) {
-        p.stream.write(served("for " + w[2]));
+    std::function<void(Peer&, const Words&)> respond = [](Peer& peer, const Words& arguments) {
+        peer.stream.write(served("for " + arguments[2]));
     };
-    explicit Host(event::Loop& l) : Accepting(l, [this](Peer& p) { take(p); }) {}
-    void take(Peer& p) {
-        resp::CommandParser reader;
-        while (reader.parse(p.got) == resp::ParseStatus::complete) {
-            Words words;
-            for (std::size_t i = 0; i < reader.argument_count(); ++i)
-                words.emplace_back(reader.argument(p.got, i));
-            p.got.erase(0, reader.consumed());
-            reader.reset();
-            commands.push_back(words);
-            respond(p, words);
+    explicit Host(event::Loop& event_loop)
+        : Accepting(event_loop, [this](Peer& peer) { read_commands(peer); }) {}
+    void read_commands(Peer& peer) {
+        resp::CommandParser parser;
+        while (parser.parse(peer.received) == resp::ParseStatus::complete) {
+            Words arguments;
+            for (std::size_t i = 0; i < parser.argument_count(); ++i)
+                arguments.emplace_back(parser.argument(peer.received, i));
+            peer.received.erase(0, parser.consumed());
+            parser.reset();
+            commands.push_back(arguments);
+            respond(peer, arguments);
         }
     }
     std::string target(const std::string& uid, const std::string& state = "ready",
@@ -101,39 +105,40 @@
     std::vector<std::string> asked;
     std::string first;   // sent to each new watch
     Micros patience{0};  // delay of each response
-    explicit Discovery(event::Loop& l) : Accepting(l, [this](Peer& p) { take(p); }) {}
-    void take(Peer& p) {
-        const auto end = p.got.find("\r\n\r\n");
+    explicit Discovery(event::Loop& event_loop)
+        : Accepting(event_loop, [this](Peer& peer) { read_requests(peer); }) {}
+    void read_requests(Peer& peer) {
+        const auto end = peer.received.find("\r\n\r\n");
         if (end == std::string::npos) return;
-        asked.push_back(p.got.substr(0, p.got.find("\r\n")));
-        p.got.erase(0, end + 4);
-        if (patience == 0us) return answer(p);
-        loop.after(patience, [this, &p] {
-            if (!p.over) answer(p);
+        asked.push_back(peer.received.substr(0, peer.received.find("\r\n")));
+        peer.received.erase(0, end + 4);
+        if (patience == 0us) return send_response(peer);
+        loop.after(patience, [this, &peer] {
+            if (!peer.over) send_response(peer);
         });
     }
-    void answer(Peer& p) const {
-        p.stream.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        if (!first.empty()) say(p, first + "\n");
+    void send_response(Peer& peer) const {
+        peer.stream.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        if (!first.empty()) say(peer, first + "\n");
     }
-    static void say(Peer& p, const std::string& text) {
+    static void say(Peer& peer, const std::string& text) {
         char size[16];
         snprintf(size, sizeof size, "%zx\r\n", text.size());
-        p.stream.write(size + text + "\r\n");
+        peer.stream.write(size + text + "\r\n");
     }
     void say(const std::string& line) {
-        for (auto& p : peers)
-            if (!p->over) say(*p, line + "\n");
+        for (auto& peer : peers)
+            if (!peer->over) say(*peer, line + "\n");
     }
-    static std::string list(int rev, bool all, const std::string& targets) {
-        return R"({"rev":)" + std::to_string(rev) + R"(,"all":)" + (all ? "true" : "false") +
-               R"(,"targets":[)" + targets + "]}";
+    static std::string list(int revision, bool complete, const std::string& targets) {
+        return R"({"rev":)" + std::to_string(revision) + R"(,"all":)" +
+               (complete ? "true" : "false") + R"(,"targets":[)" + targets + "]}";
     }
 };
 
-inline std::string hex(std::uint64_t n) {
+inline std::string hex(std::uint64_t value) {
     char text[17];
-    snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(n));
+    snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(value));
     return text;
 }
 inline std::string query(
@@ -141,17 +146,17 @@
     const std::string& customer = hex(7)) {
     std::string out;
     resp::append_array(out, 4);
-    for (const std::string& w : {std::string("SVC.QUERY"), customer, hex(id), list})
-        resp::append_bulk(out, w);
+    for (const std::string& argument : {std::string("SVC.QUERY"), customer, hex(id), list})
+        resp::append_bulk(out, argument);
     return out;
 }
 inline std::string submit(std::uint64_t id, const std::string& body) {
     std::string out;
     resp::append_array(out, 5);
-    for (const std::string& w :
+    for (const std::string& argument :
          {std::string("SVC.SUBMIT"), hex(7), hex(id),
           "c=order,t=team,d=1500,k=" + hex(id) + ",units=1,spread=1,first=0", body})
-        resp::append_bulk(out, w);
+        resp::append_bulk(out, argument);
     return out;
 }
 inline std::string bulk(const std::string& value) {
@@ -169,48 +174,52 @@
 
 class TestNode : public test_support::OnLoop {
   public:
-    explicit TestNode(const Options& o = {})
+    explicit TestNode(const Options& options = {})
         : log_(log::Format::json, log::Level::debug, "/dev/null") {
         signal(SIGPIPE, SIG_IGN);
         std::string targets;
-        for (int i = 0; i < o.hosts; ++i) {
+        for (int i = 0; i < options.hosts; ++i) {
             hosts.push_back(std::make_unique<Host>(loop));
             targets +=
                 (i ? "," : "") + hosts.back()->target("s-" + std::to_string(i + 1), "ready", i);
         }
-        if (!o.more_targets.empty()) targets += (targets.empty() ? "" : ",") + o.more_targets;
+        if (!options.more_targets.empty())
+            targets += (targets.empty() ? "" : ",") + options.more_targets;
         discovery = std::make_unique<Discovery>(loop);
-        node = std::make_unique<cli::Node>(
-            loop,
-            config(discovery->address(), targets, o.sockets, o.rate, o.memory_mb, o.connect_ms),
-            log_);
+        instance =
+            std::make_unique<cli::Node>(loop,
+                                        config(discovery->address(), targets, options.sockets,
+                                               options.rate, options.memory_mb, options.connect_ms),
+                                        log_);
     }
-    static platform::NodeConfig config(const std::string& at, const std::string& targets,
-                                       int sockets = 256, double rate = 1000, int memory_mb = 64,
+    static platform::NodeConfig config(const std::string& discovery_address,
+                                       const std::string& targets, int sockets = 256,
+                                       double rate = 1000, int memory_mb = 64,
                                        int connect_ms = 250) {
-        return platform::read_config(config_json(at, targets, sockets, rate, memory_mb, connect_ms),
-                                     [](const char*) -> const char* { return nullptr; });
+        return platform::read_config(
+            config_json(discovery_address, targets, sockets, rate, memory_mb, connect_ms),
+            [](const char*) -> const char* { return nullptr; });
     }
-    std::unique_ptr<Client> connect() { return std::make_unique<Client>(loop, node->port()); }
+    std::unique_ptr<Client> connect() { return std::make_unique<Client>(loop, instance->port()); }
     // Sends the bytes on a new connection. Returns what the node sends until it has sent `size`
     // bytes, closes the connection or the timeout passes.
-    std::string talk(const std::string& bytes, std::size_t size,
-                     std::chrono::milliseconds most = 5s) {
-        auto c = connect();
-        c->stream.write(bytes);
-        run([&] { return c->over() || c->got.size() >= size; }, most);
-        return c->got;
+    std::string exchange(const std::string& bytes, std::size_t size,
+                         std::chrono::milliseconds timeout = 5s) {
+        auto client = connect();
+        client->stream.write(bytes);
+        run([&] { return client->over() || client->got.size() >= size; }, timeout);
+        return client->got;
     }
-    std::size_t commands() const {
-        std::size_t n = 0;
-        for (const auto& h : hosts)
-            n += h->commands.size();
-        return n;
+    std::size_t command_count() const {
+        std::size_t count = 0;
+        for (const auto& host : hosts)
+            count += host->commands.size();
+        return count;
     }
 
     std::vector<std::unique_ptr<Host>> hosts;
     std::unique_ptr<Discovery> discovery;
-    std::unique_ptr<cli::Node> node;
+    std::unique_ptr<cli::Node> instance;
 
   private:
     log::Log log_;
