--- a/tests/gateway/host_test.cpp
+++ b/tests/gateway/host_test.cpp
@@ -2,129 +2,133 @@
 #include <fcntl.h>
 #include <sys/resource.h>
 
-#include "rig.h"
+#include "test_gateway.h"
 #include "tests/support/late_host.h"
 
-using namespace rig;
+using namespace gateway_test;
 
 namespace {
 const char* const complete_response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-std::string post(const std::string& path, const std::string& fields = "") {
+std::string post_request(const std::string& path, const std::string& fields = "") {
     return "POST " + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + fields +
            "Content-Length: 3\r\n\r\nabc";
 }
 }  // namespace
 
 TEST(Hosts, ARejectionIsRetriedOnAnotherHostAndAPlain503IsNot) {
-    Options o;
-    o.hosts = 2;
-    TestGateway g(o);
-    for (auto& h : g.hosts)
-        h->respond = [&](ScriptedHost::Peer& p, const std::string&) {
-            p.stream.write(g.requests() == 1
-                               ? "HTTP/1.1 503 x\r\nFull: 1\r\nContent-Length: 4\r\n\r\nfull"
-                               : complete_response);
+    Options options;
+    options.hosts = 2;
+    TestGateway gateway(options);
+    for (auto& host : gateway.hosts)
+        host->respond = [&](ScriptedHost::Peer& peer, const std::string&) {
+            peer.stream.write(gateway.request_count() == 1
+                                  ? "HTTP/1.1 503 x\r\nFull: 1\r\nContent-Length: 4\r\n\r\nfull"
+                                  : complete_response);
         };
-    EXPECT_EQ(status(g.talk(post("/a"))), 200)
+    EXPECT_EQ(status(gateway.exchange(post_request("/a"))), 200)
         << "a rejected request is retried even if it is not idempotent";
-    EXPECT_EQ(g.requests(), 2u);
-    EXPECT_TRUE(g.hosts[0]->bytes.find("Silverreach-Attempt: 1") != std::string::npos ||
-                has(g.hosts[1]->bytes, "Silverreach-Attempt: 1"));
-    TestGateway plain(o);
-    for (auto& h : plain.hosts)
-        h->respond = [&](ScriptedHost::Peer& p, const std::string&) {
-            p.stream.write("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
+    EXPECT_EQ(gateway.request_count(), 2u);
+    EXPECT_TRUE(gateway.hosts[0]->bytes.find("Silverreach-Attempt: 1") != std::string::npos ||
+                contains(gateway.hosts[1]->bytes, "Silverreach-Attempt: 1"));
+    TestGateway plain(options);
+    for (auto& host : plain.hosts)
+        host->respond = [&](ScriptedHost::Peer& peer, const std::string&) {
+            peer.stream.write("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
         };
-    const std::string answer = plain.talk(post("/a"));
-    EXPECT_EQ(status(answer), 502) << answer;
-    EXPECT_TRUE(has(answer, "bad-answer"));
-    EXPECT_EQ(plain.requests(), 1u) << "the host may have executed the request";
+    const std::string response = plain.exchange(post_request("/a"));
+    EXPECT_EQ(status(response), 502) << response;
+    EXPECT_TRUE(contains(response, "bad-answer"));
+    EXPECT_EQ(plain.request_count(), 1u) << "the host may have executed the request";
 }
 
 TEST(Hosts, AnIdempotentRetryCarriesTheSameKeyAndRequestId) {
-    Options o;
-    o.hosts = 2;
-    TestGateway g(o);
-    for (auto& h : g.hosts)
-        h->respond = [&](ScriptedHost::Peer& p, const std::string&) {
-            if (g.requests() == 1)
-                p.stream.reset();
+    Options options;
+    options.hosts = 2;
+    TestGateway gateway(options);
+    for (auto& host : gateway.hosts)
+        host->respond = [&](ScriptedHost::Peer& peer, const std::string&) {
+            if (gateway.request_count() == 1)
+                peer.stream.reset();
             else
-                p.stream.write(complete_response);
+                peer.stream.write(complete_response);
         };
-    EXPECT_EQ(status(g.talk(post("/keyed", "Idempotency-Key: once\r\nX-Request-Id: same\r\n"))),
+    EXPECT_EQ(status(gateway.exchange(
+                  post_request("/keyed", "Idempotency-Key: once\r\nX-Request-Id: same\r\n"))),
               200);
-    ASSERT_EQ(g.requests(), 2u);
-    for (auto& h : g.hosts)
-        for (const std::string& r : h->requests) {
-            EXPECT_TRUE(has(r, "Idempotency-Key: once\r\n"));
-            EXPECT_TRUE(has(r, "X-Request-Id: same\r\n"));
+    ASSERT_EQ(gateway.request_count(), 2u);
+    for (auto& host : gateway.hosts)
+        for (const std::string& request : host->requests) {
+            EXPECT_TRUE(contains(request, "Idempotency-Key: once\r\n"));
+            EXPECT_TRUE(contains(request, "X-Request-Id: same\r\n"));
         }
-    TestGateway without(o);
-    for (auto& h : without.hosts)
-        h->respond = [](ScriptedHost::Peer& p, const std::string&) { p.stream.reset(); };
-    EXPECT_EQ(status(without.talk(post("/keyed"))), 502)
+    TestGateway without_key(options);
+    for (auto& host : without_key.hosts)
+        host->respond = [](ScriptedHost::Peer& peer, const std::string&) { peer.stream.reset(); };
+    EXPECT_EQ(status(without_key.exchange(post_request("/keyed"))), 502)
         << "without a key the request is not idempotent";
-    EXPECT_EQ(without.requests(), 1u);
+    EXPECT_EQ(without_key.request_count(), 1u);
 }
 
 TEST(Hosts, ATruncatedResponseNeverLooksComplete) {
-    const std::vector<std::string> starts = {
+    const std::vector<std::string> truncated_responses = {
         "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf"};
-    for (const std::string& start : starts)
+    for (const std::string& truncated : truncated_responses)
         for (const bool reset : {false, true})
             for (const std::string version : {"1.1", "1.0"}) {
-                TestGateway g;
-                g.hosts[0]->respond = [&](ScriptedHost::Peer& p, const std::string&) {
-                    p.stream.write(start);
-                    g.loop.after(30ms,
-                                 [&p, reset] { reset ? p.stream.reset() : p.stream.close(); });
+                TestGateway gateway;
+                gateway.hosts[0]->respond = [&](ScriptedHost::Peer& peer, const std::string&) {
+                    peer.stream.write(truncated);
+                    gateway.loop.after(30ms, [&peer, reset] {
+                        reset ? peer.stream.reset() : peer.stream.close();
+                    });
                 };
-                auto c = g.connect();
-                c->stream.write("GET /a HTTP/" + version + "\r\nHost: h\r\n\r\n");
-                ASSERT_TRUE(g.run([&] { return c->over(); }));
-                EXPECT_TRUE(c->broken) << start << c->got;
-                EXPECT_FALSE(c->got.ends_with("0\r\n\r\n"));
-                EXPECT_EQ(g.requests(), 1u) << "no retry after the response began";
+                auto client = gateway.connect();
+                client->stream.write("GET /a HTTP/" + version + "\r\nHost: h\r\n\r\n");
+                ASSERT_TRUE(gateway.run([&] { return client->over(); }));
+                EXPECT_TRUE(client->broken) << truncated << client->got;
+                EXPECT_FALSE(client->got.ends_with("0\r\n\r\n"));
+                EXPECT_EQ(gateway.request_count(), 1u) << "no retry after the response began";
             }
 }
 
 TEST(Hosts, AResetOnAReusedConnectionIsNotRetriedIfNotIdempotent) {
-    TestGateway g;
-    ASSERT_EQ(status(g.talk(post("/a"))), 200);
-    g.hosts[0]->respond = [](ScriptedHost::Peer& p, const std::string&) { p.stream.reset(); };
-    EXPECT_EQ(status(g.talk(post("/a"))), 502);
-    EXPECT_EQ(g.hosts[0]->peers.size(), 1u) << "the connection was reused";
-    EXPECT_EQ(g.requests(), 2u);
+    TestGateway gateway;
+    ASSERT_EQ(status(gateway.exchange(post_request("/a"))), 200);
+    gateway.hosts[0]->respond = [](ScriptedHost::Peer& peer, const std::string&) {
+        peer.stream.reset();
+    };
+    EXPECT_EQ(status(gateway.exchange(post_request("/a"))), 502);
+    EXPECT_EQ(gateway.hosts[0]->peers.size(), 1u) << "the connection was reused";
+    EXPECT_EQ(gateway.request_count(), 2u);
 }
 
 TEST(Hosts, AnIdleConnectionThatTheHostClosedIsNotReused) {
-    TestGateway g;
-    ASSERT_EQ(status(g.talk(post("/a"))), 200);
-    g.hosts[0]->peers[0]->stream.close();
-    g.run([] { return false; }, 30ms);
-    EXPECT_EQ(status(g.talk(post("/a"))), 200);
-    EXPECT_EQ(g.hosts[0]->peers.size(), 2u);
+    TestGateway gateway;
+    ASSERT_EQ(status(gateway.exchange(post_request("/a"))), 200);
+    gateway.hosts[0]->peers[0]->stream.close();
+    gateway.run([] { return false; }, 30ms);
+    EXPECT_EQ(status(gateway.exchange(post_request("/a"))), 200);
+    EXPECT_EQ(gateway.hosts[0]->peers.size(), 2u);
 }
 
 TEST(Hosts, ExcessBytesAfterAResponseAreNotTheNextResponse) {
-    TestGateway g;
-    g.hosts[0]->respond = [](ScriptedHost::Peer& p, const std::string&) {
-        p.stream.write(std::string(complete_response) + complete_response);
+    TestGateway gateway;
+    gateway.hosts[0]->respond = [](ScriptedHost::Peer& peer, const std::string&) {
+        peer.stream.write(std::string(complete_response) + complete_response);
     };
-    EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
-    EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
-    EXPECT_EQ(g.hosts[0]->peers.size(), 2u);
+    EXPECT_EQ(status(gateway.exchange(TestGateway::get_request("/a"))), 200);
+    EXPECT_EQ(status(gateway.exchange(TestGateway::get_request("/a"))), 200);
+    EXPECT_EQ(gateway.hosts[0]->peers.size(), 2u);
 }
 
 TEST(Hosts, AnEarlyResponseIsForwardedBeforeTheBodyIsSent) {
-    Options o;
-    o.listen = "max_body_bytes: 33554432";
-    TestGateway g(o);
+    Options options;
+    options.listen_fields = "max_body_bytes: 33554432";
+    TestGateway gateway(options);
     // Responds to the first bytes and stops reading, so most of the body never leaves the gateway.
-    struct Early : event::StreamOwner {
+    struct EarlyHost : event::StreamOwner {
         std::unique_ptr<event::Stream> stream;
         void on_data(std::string_view) override {
             stream->read(false);
@@ -132,179 +136,183 @@
         }
         void on_end() override {}
         void on_broken(int) override {}
-    } early;
+    } early_host;
     event::Listener listener(
-        g.loop, "127.0.0.1", 0, false, [] { return true; },
+        gateway.loop, "127.0.0.1", 0, false, [] { return true; },
         [&](event::Fd fd, const std::string&) {
-            early.stream = std::make_unique<event::Stream>(g.loop, std::move(fd), early);
+            early_host.stream =
+                std::make_unique<event::Stream>(gateway.loop, std::move(fd), early_host);
         });
-    g.write(
+    gateway.write(
         "hosts.json",
         R"({"clusterName":"hosts","endpoints":[{"lbEndpoints":[{"endpoint":{"address":{"socketAddress":{"address":"127.0.0.1","portValue":)" +
             std::to_string(listener.port()) + "}}}}]}]}");
-    g.run([] { return false; }, 600ms);
+    gateway.run([] { return false; }, 600ms);
     const std::string body(std::size_t{20} * 1024 * 1024, 'x');
-    const std::string answer =
-        g.talk("PUT /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: " +
-               std::to_string(body.size()) + "\r\n\r\n" + body);
-    EXPECT_EQ(status(answer), 413) << answer.substr(0, 200);
+    const std::string response =
+        gateway.exchange("PUT /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: " +
+                         std::to_string(body.size()) + "\r\n\r\n" + body);
+    EXPECT_EQ(status(response), 413) << response.substr(0, 200);
 }
 
 TEST(Hosts, AMalformedResponseIsAnswered502) {
-    for (const char* bad :
+    for (const char* malformed :
          {"hello\r\n\r\n", "HTTP/1.1 200 OK\nContent-Length: 2\n\nok\r\n\r\n",
           "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nok",
           "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
           "HTTP/1.1 101 Switching Protocols\r\n\r\n\x01\x02\r\n\r\n"}) {
-        TestGateway g;
-        g.hosts[0]->respond = [&](ScriptedHost::Peer& p, const std::string&) {
-            p.stream.write(bad);
+        TestGateway gateway;
+        gateway.hosts[0]->respond = [&](ScriptedHost::Peer& peer, const std::string&) {
+            peer.stream.write(malformed);
         };
-        EXPECT_EQ(status(g.talk(post("/a"))), 502) << bad;
+        EXPECT_EQ(status(gateway.exchange(post_request("/a"))), 502) << malformed;
     }
 }
 
 TEST(Hosts, AnUnresponsiveHostEndsAtTheDeadlineAndNothingIsSentAfterwards) {
     for (const std::string path : {"/a", "/safe", "/keyed"}) {
-        Options o;
-        o.hosts = 2;
-        TestGateway g(o);
-        for (auto& h : g.hosts)
-            h->respond = nullptr;
-        const auto begin = event::Loop::clock();
-        const std::string answer =
-            g.talk(post(path, "X-Deadline-Ms: 400\r\nIdempotency-Key: k\r\n"));
-        EXPECT_EQ(status(answer), 504) << answer;
-        EXPECT_LT(event::Loop::clock() - begin, 400ms + 150ms);
-        EXPECT_EQ(has(answer, "no-time"), path != "/safe")
-            << "only a safe request is rejected: " << answer;
-        const std::size_t sent = g.requests();
-        g.run([] { return false; }, 300ms);
-        EXPECT_EQ(g.requests(), sent);
+        Options options;
+        options.hosts = 2;
+        TestGateway gateway(options);
+        for (auto& host : gateway.hosts)
+            host->respond = nullptr;
+        const auto start = event::Loop::clock();
+        const std::string response =
+            gateway.exchange(post_request(path, "X-Deadline-Ms: 400\r\nIdempotency-Key: k\r\n"));
+        EXPECT_EQ(status(response), 504) << response;
+        EXPECT_LT(event::Loop::clock() - start, 400ms + 150ms);
+        EXPECT_EQ(contains(response, "no-time"), path != "/safe")
+            << "only a safe request is rejected: " << response;
+        const std::size_t request_count = gateway.request_count();
+        gateway.run([] { return false; }, 300ms);
+        EXPECT_EQ(gateway.request_count(), request_count);
     }
 }
 
 TEST(Hosts, RefusedConnectionsAreRetriedEvenIfNotIdempotent) {
-    Options o;
-    o.hosts = 3;
-    TestGateway g(o);
-    g.hosts[0]->listener.stop();
-    g.hosts[1]->listener.stop();
+    Options options;
+    options.hosts = 3;
+    TestGateway gateway(options);
+    gateway.hosts[0]->listener.stop();
+    gateway.hosts[1]->listener.stop();
     for (int i = 0; i < 10; ++i)
-        EXPECT_EQ(status(g.talk(post("/a"))), 200) << i;
-    EXPECT_EQ(g.hosts[2]->requests.size(), 10u) << "each request runs once";
+        EXPECT_EQ(status(gateway.exchange(post_request("/a"))), 200) << i;
+    EXPECT_EQ(gateway.hosts[2]->requests.size(), 10u) << "each request runs once";
 }
 
 TEST(Hosts, NothingIsForwardedForADisconnectedClient) {
-    Options o;
-    o.hosts = 2;
-    TestGateway g(o);
-    for (auto& h : g.hosts)
-        h->respond = nullptr;
+    Options options;
+    options.hosts = 2;
+    TestGateway gateway(options);
+    for (auto& host : gateway.hosts)
+        host->respond = nullptr;
     {
-        auto c = g.connect();
-        c->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-        ASSERT_TRUE(g.run([&] { return g.requests() == 1; }));
-        c->stream.reset();
+        auto client = gateway.connect();
+        client->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
+        ASSERT_TRUE(gateway.run([&] { return gateway.request_count() == 1; }));
+        client->stream.reset();
     }
-    g.run([] { return false; }, 700ms);
-    EXPECT_EQ(g.requests(), 1u) << "no hedged request for a disconnected client";
+    gateway.run([] { return false; }, 700ms);
+    EXPECT_EQ(gateway.request_count(), 1u) << "no hedged request for a disconnected client";
 }
 
 TEST(Hosts, AChangedEndpointListIsAppliedAndAnInvalidOneIsNot) {
-    Options o;
-    o.hosts = 2;
-    TestGateway g(o);
-    auto first = std::move(g.hosts[0]);
-    g.hosts.erase(g.hosts.begin());
-    g.list_hosts();
-    g.run([] { return false; }, 600ms);
+    Options options;
+    options.hosts = 2;
+    TestGateway gateway(options);
+    auto removed_host = std::move(gateway.hosts[0]);
+    gateway.hosts.erase(gateway.hosts.begin());
+    gateway.write_host_list();
+    gateway.run([] { return false; }, 600ms);
     for (int i = 0; i < 10; ++i)
-        EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
-    EXPECT_EQ(g.hosts[0]->requests.size(), 10u);
-    g.write("hosts.json", R"({"clusterName":"hosts","endpoints":[{"lbEndpoints":[{}]}]})");
-    g.run([] { return false; }, 600ms);
-    EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200) << "the last valid list stays in use";
+        EXPECT_EQ(status(gateway.exchange(TestGateway::get_request("/a"))), 200);
+    EXPECT_EQ(gateway.hosts[0]->requests.size(), 10u);
+    gateway.write("hosts.json", R"({"clusterName":"hosts","endpoints":[{"lbEndpoints":[{}]}]})");
+    gateway.run([] { return false; }, 600ms);
+    EXPECT_EQ(status(gateway.exchange(TestGateway::get_request("/a"))), 200)
+        << "the last valid list stays in use";
 }
 
 TEST(Scale, TenThousandIdleClientsDoNotBlockAnActiveOne) {
-    rlimit limit{};
-    getrlimit(RLIMIT_NOFILE, &limit);
-    const rlimit before = limit;
-    limit.rlim_cur = limit.rlim_max;
-    setrlimit(RLIMIT_NOFILE, &limit);
+    rlimit descriptor_limit{};
+    getrlimit(RLIMIT_NOFILE, &descriptor_limit);
+    const rlimit original_limit = descriptor_limit;
+    descriptor_limit.rlim_cur = descriptor_limit.rlim_max;
+    setrlimit(RLIMIT_NOFILE, &descriptor_limit);
     // Both ends of each connection use a descriptor of this process. If the limit is lower, the
     // test opens as many clients as the limit permits.
-    const std::size_t wanted = std::min<std::size_t>(10'000, limit.rlim_cur / 2 - 200);
-    if (wanted < 10'000)
-        std::cout << "the descriptor limit permits only " << wanted << " clients\n";
-    Options o;
-    o.listen = "max_connections: 20000";
-    TestGateway g(o);
+    const std::size_t client_count =
+        std::min<std::size_t>(10'000, descriptor_limit.rlim_cur / 2 - 200);
+    if (client_count < 10'000)
+        std::cout << "the descriptor limit permits only " << client_count << " clients\n";
+    Options options;
+    options.listen_fields = "max_connections: 20000";
+    TestGateway gateway(options);
     std::vector<std::unique_ptr<Client>> idle;
-    while (idle.size() < wanted) {
-        for (int i = 0; i < 200 && idle.size() < wanted; ++i)
-            idle.push_back(g.connect());
-        g.run([] { return false; }, 5ms);
+    while (idle.size() < client_count) {
+        for (int i = 0; i < 200 && idle.size() < client_count; ++i)
+            idle.push_back(gateway.connect());
+        gateway.run([] { return false; }, 5ms);
     }
-    g.run([] { return false; }, 200ms);
-    EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
-    for (const auto& c : idle)
-        ASSERT_FALSE(c->over());
+    gateway.run([] { return false; }, 200ms);
+    EXPECT_EQ(status(gateway.exchange(TestGateway::get_request("/a"))), 200);
+    for (const auto& client : idle)
+        ASSERT_FALSE(client->over());
     idle.clear();
-    setrlimit(RLIMIT_NOFILE, &before);
+    setrlimit(RLIMIT_NOFILE, &original_limit);
 }
 
 TEST(Scale, WithoutDescriptorsNewClientsAreClosedAndOldOnesServed) {
-    TestGateway g;
-    auto kept = g.connect();
-    kept->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-    ASSERT_TRUE(g.run([&] { return has(kept->got, "ok"); }));
-    auto fresh =
-        g.connect();  // the client's end is open; the gateway accepts when no descriptor is left
-    rlimit before{};
-    getrlimit(RLIMIT_NOFILE, &before);
+    TestGateway gateway;
+    auto old_client = gateway.connect();
+    old_client->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
+    ASSERT_TRUE(gateway.run([&] { return contains(old_client->got, "ok"); }));
+    // The client's end is open. The gateway accepts it when no descriptor is left.
+    auto new_client = gateway.connect();
+    rlimit original_limit{};
+    getrlimit(RLIMIT_NOFILE, &original_limit);
     // All descriptors below the lowest free one are in use, so opening another one fails from here
     // on.
-    event::Fd lowest(open("/dev/null", O_RDONLY));
-    rlimit none = before;
-    none.rlim_cur = static_cast<rlim_t>(lowest.get());
-    lowest.reset();
-    setrlimit(RLIMIT_NOFILE, &none);
-    EXPECT_TRUE(g.run([&] { return fresh->over(); }))
+    event::Fd lowest_free(open("/dev/null", O_RDONLY));
+    rlimit exhausted_limit = original_limit;
+    exhausted_limit.rlim_cur = static_cast<rlim_t>(lowest_free.get());
+    lowest_free.reset();
+    setrlimit(RLIMIT_NOFILE, &exhausted_limit);
+    EXPECT_TRUE(gateway.run([&] { return new_client->over(); }))
         << "the new client is closed instead of left waiting";
-    kept->got.clear();
-    kept->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-    EXPECT_TRUE(g.run([&] { return has(kept->got, "ok"); }))
+    old_client->got.clear();
+    old_client->stream.write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
+    EXPECT_TRUE(gateway.run([&] { return contains(old_client->got, "ok"); }))
         << "an idle connection to the host serves the request";
-    setrlimit(RLIMIT_NOFILE, &before);
-    EXPECT_EQ(status(g.talk(TestGateway::get("/a"))), 200);
+    setrlimit(RLIMIT_NOFILE, &original_limit);
+    EXPECT_EQ(status(gateway.exchange(TestGateway::get_request("/a"))), 200);
 }
 
 TEST(Scale, ClientsAboveTheConnectionLimitAreClosed) {
-    Options o;
-    o.listen = "max_connections: 2";
-    TestGateway g(o);
-    auto a = g.connect(), b = g.connect();
-    g.run([] { return false; }, 30ms);
-    auto c = g.connect();
-    EXPECT_TRUE(g.run([&] { return c->over(); }));
-    EXPECT_FALSE(a->over());
-    EXPECT_FALSE(b->over());
+    Options options;
+    options.listen_fields = "max_connections: 2";
+    TestGateway gateway(options);
+    auto first = gateway.connect(), second = gateway.connect();
+    gateway.run([] { return false; }, 30ms);
+    auto third = gateway.connect();
+    EXPECT_TRUE(gateway.run([&] { return third->over(); }));
+    EXPECT_FALSE(first->over());
+    EXPECT_FALSE(second->over());
 }
 
 TEST(Hosts, NothingIsSentForAClientThatDisconnectsDuringTheConnect) {
-    test_support::LateHost late;
-    Options o;
-    o.hosts = 0, o.other_port = late.port(), o.connect_ms = 3000, o.deadline_ms = 3000;
-    TestGateway g(o);
+    test_support::LateHost late_host;
+    Options options;
+    options.hosts = 0, options.unscripted_port = late_host.port(), options.connect_ms = 3000,
+    options.deadline_ms = 3000;
+    TestGateway gateway(options);
     {
-        auto c = g.connect();
-        c->stream.write(post("/a"));
-        g.pass(50ms);
+        auto client = gateway.connect();
+        client->stream.write(post_request("/a"));
+        gateway.pass(50ms);
     }
-    g.pass(10ms);
+    gateway.pass(10ms);
     // The system repeats the handshake after a second, so a connection that is still pending would
     // be established within this time.
-    EXPECT_FALSE(g.run([&] { return late.bytes() > 0; }, 1500ms));
+    EXPECT_FALSE(gateway.run([&] { return late_host.bytes() > 0; }, 1500ms));
 }
