--- a/tests/faults/client_end_test.cpp
+++ b/tests/faults/client_end_test.cpp
@@ -7,10 +7,10 @@
     FaultNode n(2);
     std::vector<Micros> begun;
     for (auto& h : n.hosts)
-        h->respond = [&](Accepting::Peer& p, const Words& w) {
+        h->respond = [&](ScriptedServer::Peer& p, const Arguments& w) {
             begun.push_back(event::Loop::clock());
             n.loop.after(200ms, [&p, value = "for " + w[2]] {
-                if (!p.over) p.stream.write(served(value));
+                if (!p.is_closed) p.stream.write(host_response(value));
             });
         };
     ASSERT_TRUE(n.start());
@@ -34,9 +34,9 @@
         return replaced(std::move(config), "\"memory_mb\":64", "\"memory_mb\":4");
     });
     for (auto& h : n.hosts)
-        h->respond = [&](Accepting::Peer& p, const Words& w) {
+        h->respond = [&](ScriptedServer::Peer& p, const Arguments& w) {
             n.loop.after(500ms, [&p, value = "for " + w[2]] {
-                if (!p.over) p.stream.write(served(value));
+                if (!p.is_closed) p.stream.write(host_response(value));
             });
         };
     ASSERT_TRUE(n.start());
--- a/tests/faults/deadline_test.cpp
+++ b/tests/faults/deadline_test.cpp
@@ -19,11 +19,11 @@
     std::vector<Begun> begun;
     Micros written{0};
     for (auto& h : n.hosts)
-        h->respond = [&](Accepting::Peer& p, const Words& w) {
+        h->respond = [&](ScriptedServer::Peer& p, const Arguments& w) {
             begun.push_back(
                 {event::Loop::clock() - written, std::chrono::milliseconds(figure(w, "d"))});
             n.loop.after(300ms, [&p, value = "for " + w[2]] {
-                if (!p.over) p.stream.write(served(value));
+                if (!p.is_closed) p.stream.write(host_response(value));
             });
         };
     ASSERT_TRUE(n.start());
@@ -64,7 +64,7 @@
     EXPECT_GT(after.count(), Micros(500ms).count()) << "it was not late";
     resp::CommandParser reader;
     ASSERT_EQ(reader.parse(late.text()), resp::ParseStatus::complete);
-    const Words words = {"", "", "", std::string(reader.argument(late.text(), 3))};
+    const Arguments words = {"", "", "", std::string(reader.argument(late.text(), 3))};
     EXPECT_LE(figure(words, "d"), 1900 - after.count() / 1000 + 150);
     EXPECT_GT(figure(words, "d"), 0);
 }
@@ -78,16 +78,16 @@
         return replaced(std::move(config), "\"repeatWindowUs\":1200000",
                         "\"repeatWindowUs\":800000");
     });
-    Accepting::Peer* first = nullptr;
-    n.hosts[0]->respond = [&](Accepting::Peer& p, const Words&) { first = &p; };
+    ScriptedServer::Peer* first = nullptr;
+    n.hosts[0]->respond = [&](ScriptedServer::Peer& p, const Arguments&) { first = &p; };
     ASSERT_TRUE(n.start());
-    ASSERT_TRUE(n.run([&] { return !n.discovery->asked.empty(); }));
+    ASSERT_TRUE(n.run([&] { return !n.discovery->request_lines.empty(); }));
     auto c = n.connect();
     c->stream.write(replaced(submit(1, "SHEET"), "d=1500", "d=1900"));
     ASSERT_TRUE(n.run([&] { return first != nullptr; }));
     // The host of the first attempt drains and breaks off: what is left of its cell is the late
     // one.
-    n.discovery->say(Discovery::list(
+    n.discovery->send_line(Discovery::list(
         42, false,
         n.hosts[0]->target("s-1", "draining") + "," + replaced(target(late), "s-1", "s-2")));
     n.pass(50ms);
@@ -104,10 +104,10 @@
         FaultNode n(1, patient);
         std::vector<Begun> begun;
         Micros written{0};
-        n.hosts[0]->respond = [&](Accepting::Peer& p, const Words& w) {
+        n.hosts[0]->respond = [&](ScriptedServer::Peer& p, const Arguments& w) {
             begun.push_back(
                 {event::Loop::clock() - written, std::chrono::milliseconds(figure(w, "d"))});
-            p.stream.write(served("for " + w[2]));
+            p.stream.write(host_response("for " + w[2]));
         };
         ASSERT_TRUE(n.start());
         auto c = n.connect();
--- a/tests/faults/discovery_test.cpp
+++ b/tests/faults/discovery_test.cpp
@@ -5,8 +5,8 @@
 
 TEST(SlowDiscovery, GetsALongerFirstListTimeout) {
     FaultNode n;
-    n.discovery->patience = 1500ms;
-    n.discovery->first = Discovery::list(50, true, n.hosts[0]->target("s-1", "draining"));
+    n.discovery->response_delay = 1500ms;
+    n.discovery->initial_list = Discovery::list(50, true, n.hosts[0]->target("s-1", "draining"));
     ASSERT_TRUE(n.start());
     EXPECT_TRUE(
         n.run([&] { return n.process->log().find("revision=50") != std::string::npos; }, 6s))
--- a/tests/faults/host_test.cpp
+++ b/tests/faults/host_test.cpp
@@ -72,11 +72,11 @@
 TEST(BrokenConnection, ErrorsThatTellOfItEndItAndTheRequestIsAnswered) {
     for (const int error : {ECONNRESET, ETIMEDOUT, EHOSTUNREACH, ENETDOWN}) {
         FaultNode n(2);
-        Accepting::Peer* first = nullptr;
+        ScriptedServer::Peer* first = nullptr;
         for (auto& h : n.hosts)
-            h->respond = [&](Accepting::Peer& p, const Words& w) {
+            h->respond = [&](ScriptedServer::Peer& p, const Arguments& w) {
                 if (!std::exchange(first, &p)) return;
-                p.stream.write(served("for " + w[2]));
+                p.stream.write(host_response("for " + w[2]));
             };
         ASSERT_TRUE(n.start());
         auto c = n.connect();
@@ -85,7 +85,7 @@
         // The host's answer cannot be read: the attempt may have run, and the class may be
         // repeated.
         n.process->faults.fail(faults::recv_call, error, 1, 5s);
-        first->stream.write(served("unread"));
+        first->stream.write(host_response("unread"));
         EXPECT_TRUE(n.run([&] { return c->got == bulk("for " + hex(1)); }, 2s))
             << error << ": " << c->got;
         EXPECT_EQ(n.process->faults.hit(faults::recv_call), 1);
@@ -96,7 +96,7 @@
     for (const int error : {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, ECONNRESET}) {
         FaultNode n(2);
         ASSERT_TRUE(n.start());
-        ASSERT_TRUE(n.run([&] { return !n.discovery->asked.empty(); }));
+        ASSERT_TRUE(n.run([&] { return !n.discovery->request_lines.empty(); }));
         n.process->faults.fail(faults::connect_result, error, 1, 5s);
         EXPECT_TRUE(n.serves(1)) << error;
         EXPECT_EQ(n.process->faults.hit(faults::connect_result), 1);
--- a/tests/faults/log_test.cpp
+++ b/tests/faults/log_test.cpp
@@ -33,7 +33,7 @@
 // Many lines: each change of the list is one.
 void change_list(FaultNode& n, int from, int changes) {
     for (int i = 0; i < changes; ++i)
-        n.discovery->say(Discovery::list(from + i, false, n.hosts[0]->target("s-1")));
+        n.discovery->send_line(Discovery::list(from + i, false, n.hosts[0]->target("s-1")));
     n.pass(50ms);
 }
 }  // namespace
--- a/tests/faults/rig.h
+++ b/tests/faults/rig.h
@@ -5,7 +5,7 @@
 #include <sys/resource.h>
 
 #include "resp/reply_parser.h"
-#include "tests/node/rig.h"
+#include "tests/node/test_node.h"
 #include "tests/support/node_process.h"
 
 namespace fault_test {
@@ -27,7 +27,7 @@
     return out;
 }
 // The figure of a name in a command's list of values.
-inline std::int64_t figure(const Words& command, const std::string& name) {
+inline std::int64_t figure(const Arguments& command, const std::string& name) {
     const std::string list = "," + command.at(3);
     const std::size_t at = list.find("," + name + "=");
     return at == std::string::npos ? -1 : std::stoll(list.substr(at + name.size() + 2));
--- a/tests/faults/slow_start_test.cpp
+++ b/tests/faults/slow_start_test.cpp
@@ -22,17 +22,17 @@
     // Answers take a while that differs, as they do; else a gateway keeps to the host that was
     // fastest once.
     void work_like_a_host(Host& host) {
-        host.respond = [this](Accepting::Peer& p, const Words& w) {
+        host.respond = [this](ScriptedServer::Peer& p, const Arguments& w) {
             node.loop.after(std::chrono::milliseconds(20 + ids * 7 % 30),
                             [&p, value = "for " + w[2]] {
-                                if (!p.over) p.stream.write(served(value));
+                                if (!p.is_closed) p.stream.write(host_response(value));
                             });
         };
     }
     bool start() {
         for (auto& host : node.hosts)
             work_like_a_host(*host);
-        if (!node.start() || !node.run([&] { return !node.discovery->asked.empty(); }))
+        if (!node.start() || !node.run([&] { return !node.discovery->request_lines.empty(); }))
             return false;
         client = node.connect();
         return true;
@@ -64,7 +64,7 @@
         again(boot_ms);
     }
     void again(std::int64_t boot_ms) {
-        node.discovery->say(
+        node.discovery->send_line(
             Discovery::list(++revision, false,
                             replaced(node.hosts.back()->target("s-new"), "\"boot_ms\":0",
                                      "\"boot_ms\":" + std::to_string(boot_ms))));
--- a/tests/faults/start_test.cpp
+++ b/tests/faults/start_test.cpp
@@ -66,7 +66,7 @@
         n.pass(300ms);
         EXPECT_TRUE(n.serves(1)) << "the old one serves meanwhile";
         if (torn) n.process->configure(fresh);
-        EXPECT_TRUE(n.run([&] { return !other.asked.empty(); }, 3s)) << n.process->log();
+        EXPECT_TRUE(n.run([&] { return !other.request_lines.empty(); }, 3s)) << n.process->log();
     }
 }
 
--- a/tests/node/discovery_watch_test.cpp
+++ b/tests/node/discovery_watch_test.cpp
@@ -2,7 +2,7 @@
 #include "discovery/discovery_watch.h"
 
 #include "platform/object_reader.h"
-#include "tests/node/rig.h"
+#include "tests/node/test_node.h"
 
 using namespace node_test;
 
@@ -32,7 +32,7 @@
         EXPECT_TRUE(wait_for_requests(1));
     }
     bool wait_for_requests(std::size_t count) {
-        return run([&] { return discovery.asked.size() == count; }, 2s);
+        return run([&] { return discovery.request_lines.size() == count; }, 2s);
     }
     bool wait_for_lists(std::size_t count) {
         return run([&] { return lists.size() == count; }, 2s);
@@ -73,25 +73,25 @@
     const std::string text = "{\n  \"rev\": 42,\n  \"all\": false,\n  \"targets\": [\n    " +
                              endpoint_json + "\n  ]\n}\n";
     for (std::size_t i = 0; i < text.size(); i += 7) {
-        harness.discovery.say(*harness.discovery.peers[0], text.substr(i, 7));
+        harness.discovery.send_chunk(*harness.discovery.peers[0], text.substr(i, 7));
         harness.pass(1ms);
     }
     ASSERT_TRUE(harness.wait_for_lists(1));
     EXPECT_EQ(harness.lists[0].revision, 42);
-    EXPECT_EQ(harness.discovery.asked.size(), 1u) << "a valid list causes no new request";
+    EXPECT_EQ(harness.discovery.request_lines.size(), 1u) << "a valid list causes no new request";
 }
 
 TEST(DiscoveryWatch, AMalformedListIsFollowedByARequestForTheCompleteList) {
     for (const char* malformed :
          {R"({"rev":42,"all":true,"targets":[{"uid":}]})", "noise", R"({"rev":"x"})"}) {
         WatchHarness harness(60s);
-        harness.discovery.say(Discovery::list(42, false, endpoint_json));
+        harness.discovery.send_line(Discovery::list(42, false, endpoint_json));
         ASSERT_TRUE(harness.wait_for_lists(1));
-        harness.discovery.say(malformed);
+        harness.discovery.send_line(malformed);
         ASSERT_TRUE(harness.wait_for_requests(2))
             << "the next request follows without backoff after: " << malformed;
-        EXPECT_EQ(harness.discovery.asked[1], complete_list_request);
-        harness.discovery.say(Discovery::list(43, true, endpoint_json));
+        EXPECT_EQ(harness.discovery.request_lines[1], complete_list_request);
+        harness.discovery.send_line(Discovery::list(43, true, endpoint_json));
         EXPECT_TRUE(harness.wait_for_lists(2));
     }
 }
@@ -100,37 +100,37 @@
     for (const std::string& implausible_list :
          {Discovery::list(17, true, endpoint_json), Discovery::list(44, true, "")}) {
         WatchHarness harness;
-        harness.discovery.say(implausible_list);
+        harness.discovery.send_line(implausible_list);
         ASSERT_TRUE(harness.wait_for_requests(2));
-        EXPECT_EQ(harness.discovery.asked[1], complete_list_request);
+        EXPECT_EQ(harness.discovery.request_lines[1], complete_list_request);
         EXPECT_TRUE(harness.lists.empty());
-        harness.discovery.say(implausible_list);
+        harness.discovery.send_line(implausible_list);
         EXPECT_TRUE(harness.wait_for_lists(1));
     }
     WatchHarness harness;
-    harness.discovery.say(Discovery::list(17, false, endpoint_json));
+    harness.discovery.send_line(Discovery::list(17, false, endpoint_json));
     ASSERT_TRUE(harness.wait_for_requests(2));
-    harness.discovery.say(Discovery::list(45, true, endpoint_json));
+    harness.discovery.send_line(Discovery::list(45, true, endpoint_json));
     ASSERT_TRUE(harness.wait_for_lists(1));
     EXPECT_EQ(harness.lists[0].revision, 45) << "the complete list replaces the older revision";
 }
 
 TEST(DiscoveryWatch, OnlyCompleteObjectsAndEmptyLinesCountAsActivity) {
     WatchHarness harness;
-    harness.discovery.say(Discovery::list(42, false, endpoint_json));
+    harness.discovery.send_line(Discovery::list(42, false, endpoint_json));
     ASSERT_TRUE(harness.wait_for_lists(1));
     for (int i = 0; i < 24; ++i) {  // empty lines count as activity
         harness.pass(50ms);
-        harness.discovery.say("");
+        harness.discovery.send_line("");
     }
-    EXPECT_EQ(harness.discovery.asked.size(), 1u);
-    harness.discovery.say(*harness.discovery.peers[0], "{\"rev\":43,");
-    for (int i = 0; i < 60 && harness.discovery.asked.size() == 1; ++i) {
-        harness.discovery.say(*harness.discovery.peers[0], "      ");
+    EXPECT_EQ(harness.discovery.request_lines.size(), 1u);
+    harness.discovery.send_chunk(*harness.discovery.peers[0], "{\"rev\":43,");
+    for (int i = 0; i < 60 && harness.discovery.request_lines.size() == 1; ++i) {
+        harness.discovery.send_chunk(*harness.discovery.peers[0], "      ");
         harness.pass(50ms);
     }
-    ASSERT_EQ(harness.discovery.asked.size(), 2u);
-    EXPECT_EQ(harness.discovery.asked[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
+    ASSERT_EQ(harness.discovery.request_lines.size(), 2u);
+    EXPECT_EQ(harness.discovery.request_lines[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
 }
 
 TEST(DiscoveryWatch, ASilentServiceIsCalledAgainAfterTheFirstListTimeout) {
@@ -138,24 +138,24 @@
     ASSERT_TRUE(harness.wait_for_requests(2))
         << "the watch is repeated after the first-list timeout";
     ASSERT_TRUE(harness.wait_for_requests(3));
-    harness.discovery.say(Discovery::list(42, false, endpoint_json));
+    harness.discovery.send_line(Discovery::list(42, false, endpoint_json));
     EXPECT_TRUE(harness.wait_for_lists(1));
 }
 
 TEST(DiscoveryWatch, AStableWatchThatEndsIsResumedWithoutBackoff) {
     WatchHarness harness(60s);
-    harness.discovery.say(Discovery::list(42, false, endpoint_json));
+    harness.discovery.send_line(Discovery::list(42, false, endpoint_json));
     ASSERT_TRUE(harness.wait_for_lists(1));
     harness.discovery.peers[0]->stream.close();
     ASSERT_TRUE(harness.wait_for_requests(2)) << "the next request follows without backoff";
-    EXPECT_EQ(harness.discovery.asked[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
+    EXPECT_EQ(harness.discovery.request_lines[1], "GET /v1/endpoints?follow=1&since=42 HTTP/1.1");
 }
 
 TEST(DiscoveryWatch, AServiceThatEndsEachWatchIsCalledWithBackoff) {
     WatchHarness harness(100ms, 10s, 10s);
-    harness.discovery.first = Discovery::list(42, false, endpoint_json);
+    harness.discovery.initial_list = Discovery::list(42, false, endpoint_json);
     const auto start = event::Loop::clock();
-    harness.discovery.say(harness.discovery.first);
+    harness.discovery.send_line(harness.discovery.initial_list);
     for (std::size_t n = 1; n <= 4; ++n) {
         ASSERT_TRUE(harness.wait_for_lists(n));
         harness.discovery.peers.back()->stream.close();
--- a/tests/node/endings_test.cpp
+++ b/tests/node/endings_test.cpp
@@ -5,7 +5,7 @@
 
 #include <array>
 
-#include "tests/node/rig.h"
+#include "tests/node/test_node.h"
 
 using namespace node_test;
 
@@ -66,7 +66,7 @@
 
 TEST(ClientEnds, ADisconnectIsDetectedBehindQueuedCommands) {
     TestNode node;
-    node.hosts[0]->respond = [](Accepting::Peer&, const Words&) {};
+    node.hosts[0]->respond = [](ScriptedServer::Peer&, const Arguments&) {};
     {
         auto client = node.connect();
         std::string commands = query(1);
@@ -77,8 +77,8 @@
         node.pass(20ms);
     }
     node.pass(20ms);
-    node.hosts[0]->respond = [](Accepting::Peer& peer, const Words&) {
-        peer.stream.write(served("later"));
+    node.hosts[0]->respond = [](ScriptedServer::Peer& peer, const Arguments&) {
+        peer.stream.write(host_response("later"));
     };
     EXPECT_EQ(node.exchange(query(1), 5), bulk("later")) << "the request id is free again";
 }
@@ -88,9 +88,11 @@
     // either.
     for (const bool disconnects_first : {false, true}) {
         TestNode node({2});
-        Accepting::Peer* host_peer = nullptr;
+        ScriptedServer::Peer* host_peer = nullptr;
         for (auto& host : node.hosts)
-            host->respond = [&](Accepting::Peer& peer, const Words&) { host_peer = &peer; };
+            host->respond = [&](ScriptedServer::Peer& peer, const Arguments&) {
+                host_peer = &peer;
+            };
         event::Fd client = connect_and_send(node, query(1));
         ASSERT_TRUE(node.run([&] { return host_peer != nullptr; }));
         if (disconnects_first) client.reset();
@@ -104,12 +106,12 @@
 TEST(HostDrains, UnsentAttemptsMoveToAnotherHost) {
     LateHost late_host;
     TestNode node({0, 256, 1000, 64, 5000, target(late_host)});
-    ASSERT_TRUE(node.run([&] { return node.discovery->asked.size() == 1; }));
+    ASSERT_TRUE(node.run([&] { return node.discovery->request_lines.size() == 1; }));
     auto client = node.connect();
     client->stream.write(submit(1, "SHEET"));
     node.pass(50ms);
     Host other_host(node.loop);
-    node.discovery->say(
+    node.discovery->send_line(
         Discovery::list(42, false, target(late_host, "draining") + "," + other_host.target("s-2")));
     EXPECT_TRUE(node.run([&] { return client->got == response_to(1); }, 1s)) << client->got;
     EXPECT_EQ(other_host.commands.size(), 1u);
@@ -130,9 +132,9 @@
     TestNode node;
     const event::Fd client = connect_and_send(node, "*x\r\n");
     node.pass(20ms);
-    const std::string late_host = query(1);
-    EXPECT_EQ(::send(client.get(), late_host.data(), late_host.size(), MSG_NOSIGNAL),
-              static_cast<ssize_t>(late_host.size()));
+    const std::string late_command = query(1);
+    EXPECT_EQ(::send(client.get(), late_command.data(), late_command.size(), MSG_NOSIGNAL),
+              static_cast<ssize_t>(late_command.size()));
     node.pass(20ms);
     bool reset = false;
     EXPECT_EQ(receive_all(client.get(), reset),
@@ -162,10 +164,12 @@
 namespace {
 // A node whose host has received a client's request and has not answered it.
 struct NodeWithRequestInFlight : TestNode {
-    Accepting::Peer* host_peer = nullptr;
+    ScriptedServer::Peer* host_peer = nullptr;
     std::unique_ptr<Client> client = connect();
     NodeWithRequestInFlight() {
-        hosts[0]->respond = [this](Accepting::Peer& peer, const Words&) { host_peer = &peer; };
+        hosts[0]->respond = [this](ScriptedServer::Peer& peer, const Arguments&) {
+            host_peer = &peer;
+        };
         client->stream.write(submit(1, "SHEET"));
         EXPECT_TRUE(run([this] { return host_peer != nullptr; }));
     }
@@ -179,7 +183,7 @@
     node.instance->drain(0ms, 100ms, [&] { done = true; });
     node.pass(250ms);
     EXPECT_FALSE(done) << "the drain waits for the response";
-    node.host_peer->stream.write(served("for " + hex(1)));
+    node.host_peer->stream.write(host_response("for " + hex(1)));
     EXPECT_TRUE(node.run([&] { return done; }, 2s));
     EXPECT_EQ(node.client->got, response_to(1));
 }
@@ -189,10 +193,10 @@
     ASSERT_TRUE(node.host_peer);
     node.instance->drain(0ms, 400ms, [] {});
     node.pass(50ms);
-    node.hosts[0]->respond = [](Accepting::Peer&, const Words&) {};
+    node.hosts[0]->respond = [](ScriptedServer::Peer&, const Arguments&) {};
     node.client->stream.write(submit(2, "SHEET") + ping());
     node.pass(20ms);
-    node.host_peer->stream.write(served("for " + hex(1)));
+    node.host_peer->stream.write(host_response("for " + hex(1)));
     ASSERT_TRUE(node.run([&] { return node.client->got.ends_with(pong); }, 1s))
         << "the response precedes the request's deadline";
     EXPECT_TRUE(node.client->got.starts_with(response_to(1) + "-")) << node.client->got;
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -5,7 +5,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "tests/node/rig.h"
+#include "tests/node/test_node.h"
 
 using namespace node_test;
 
@@ -24,7 +24,7 @@
     EXPECT_EQ(node.exchange(ping(), pong.size()), pong);
     EXPECT_EQ(node.exchange(query(1), response_to(1).size()), response_to(1));
     ASSERT_EQ(node.command_count(), 1u);
-    const Words& arguments = node.hosts[0]->commands[0];
+    const Arguments& arguments = node.hosts[0]->commands[0];
     EXPECT_EQ(arguments[0], "SVC.QUERY");
     EXPECT_EQ(arguments[1], hex(7));
     const auto position = arguments[3].find(",d=");
@@ -37,16 +37,16 @@
 
 TEST(Node, PipelinedResponsesFollowTheOrderOfTheirCommands) {
     TestNode node({3});
-    std::vector<std::pair<Accepting::Peer*, Words>> waiting;
+    std::vector<std::pair<ScriptedServer::Peer*, Arguments>> waiting;
     for (auto& host : node.hosts)
-        host->respond = [&](Accepting::Peer& peer, const Words& arguments) {
+        host->respond = [&](ScriptedServer::Peer& peer, const Arguments& arguments) {
             waiting.emplace_back(&peer, arguments);
         };
     auto client = node.connect();
     client->stream.write(query(1) + ping() + query(2) + "*1\r\n$4\r\nNOPE\r\n" + query(3));
     ASSERT_TRUE(node.run([&] { return waiting.size() == 3; }));
     for (std::size_t i = 3; i-- > 0;) {  // hosts respond in reverse order
-        waiting[i].first->stream.write(served("for " + waiting[i].second[2]));
+        waiting[i].first->stream.write(host_response("for " + waiting[i].second[2]));
         node.pass(20ms);
     }
     EXPECT_EQ(client->got,
@@ -70,13 +70,15 @@
 
 TEST(Node, ADuplicateOfAnIdInFlightIsRejected) {
     TestNode node;
-    Accepting::Peer* first_peer = nullptr;
-    node.hosts[0]->respond = [&](Accepting::Peer& peer, const Words&) { first_peer = &peer; };
+    ScriptedServer::Peer* first_peer = nullptr;
+    node.hosts[0]->respond = [&](ScriptedServer::Peer& peer, const Arguments&) {
+        first_peer = &peer;
+    };
     auto first_client = node.connect();
     first_client->stream.write(query(1));
     ASSERT_TRUE(node.run([&] { return first_peer != nullptr; }));
     EXPECT_TRUE(node.exchange(query(1), 10).starts_with("-ERR id"));
-    first_peer->stream.write(served("mine"));
+    first_peer->stream.write(host_response("mine"));
     ASSERT_TRUE(node.run([&] { return !first_client->got.empty(); }));
     EXPECT_EQ(first_client->got, bulk("mine"));
     EXPECT_EQ(node.command_count(), 1u);
@@ -169,7 +171,7 @@
     std::size_t open_count = 0;
     for (auto& host : node.hosts)
         for (auto& peer : host->peers)
-            open_count += !peer->over;
+            open_count += !peer->is_closed;
     EXPECT_LE(open_count, 8u) << "host connections do not grow with customers";
 }
 
@@ -182,9 +184,9 @@
         TestNode node({2});
         int response_count = 0;
         for (auto& host : node.hosts)
-            host->respond = [&](Accepting::Peer& peer, const Words& arguments) {
+            host->respond = [&](ScriptedServer::Peer& peer, const Arguments& arguments) {
                 peer.stream.write(response_count++ == 0 ? malformed
-                                                        : served("for " + arguments[2]));
+                                                        : host_response("for " + arguments[2]));
             };
         EXPECT_EQ(node.exchange(query(1), response_to(1).size()), response_to(1)) << malformed;
         EXPECT_EQ(node.command_count(), 2u) << "an idempotent request is retried once";
@@ -199,11 +201,11 @@
     TestNode node({2});
     int request_count = 0;
     for (auto& host : node.hosts)
-        host->respond = [&](Accepting::Peer& peer, const Words& arguments) {
+        host->respond = [&](ScriptedServer::Peer& peer, const Arguments& arguments) {
             if (request_count++ == 0)
                 peer.stream.write("*3\r\n$90\r\nfor");
             else
-                peer.stream.write(served("for " + arguments[2]));
+                peer.stream.write(host_response("for " + arguments[2]));
         };
     const Micros start = event::Loop::clock();
     EXPECT_EQ(node.exchange(query(1), response_to(1).size()), response_to(1));
@@ -215,13 +217,13 @@
     TestNode node;
     const std::string value(300'000, 'v');
     // The gateway expects response times like earlier ones, so the first response is slow.
-    node.hosts[0]->respond = [&](Accepting::Peer& peer, const Words& arguments) {
-        node.loop.after(100ms,
-                        [&peer, arguments] { peer.stream.write(served("for " + arguments[2])); });
+    node.hosts[0]->respond = [&](ScriptedServer::Peer& peer, const Arguments& arguments) {
+        node.loop.after(
+            100ms, [&peer, arguments] { peer.stream.write(host_response("for " + arguments[2])); });
     };
     EXPECT_EQ(node.exchange(submit(2, "b"), response_to(2).size()), response_to(2));
-    node.hosts[0]->respond = [&](Accepting::Peer& peer, const Words&) {
-        const std::string response_bytes = served(value);
+    node.hosts[0]->respond = [&](ScriptedServer::Peer& peer, const Arguments&) {
+        const std::string response_bytes = host_response(value);
         for (std::size_t i = 0; i < 6; ++i)
             node.loop.after(Micros(40'000 * i),
                             [&peer, part = response_bytes.substr(i * 50'100, 50'100)] {
@@ -237,8 +239,8 @@
         TestNode node({2, 256, 1000, memory_mb});
         const std::string value(300'000, 'v');
         for (auto& host : node.hosts)
-            host->respond = [&](Accepting::Peer& peer, const Words&) {
-                const std::string response_bytes = served(value);
+            host->respond = [&](ScriptedServer::Peer& peer, const Arguments&) {
+                const std::string response_bytes = host_response(value);
                 peer.stream.write(response_bytes.substr(0, 200'000));
                 node.loop.after(20ms, [&peer, rest = response_bytes.substr(200'000)] {
                     peer.stream.write(rest);
@@ -248,8 +250,8 @@
             node.exchange(query(1), memory_mb == 64 ? bulk(value).size() : 1);
         EXPECT_EQ(received == bulk(value), memory_mb == 64) << received.substr(0, 40);
         for (auto& host : node.hosts)
-            host->respond = [](Accepting::Peer& peer, const Words&) {
-                peer.stream.write(served("small"));
+            host->respond = [](ScriptedServer::Peer& peer, const Arguments&) {
+                peer.stream.write(host_response("small"));
             };
         EXPECT_EQ(node.exchange(query(2), 5), bulk("small"));
     }
@@ -257,15 +259,16 @@
 
 TEST(Node, ExcessBytesAfterAResponseAreNotTheNextResponse) {
     TestNode node;
-    node.hosts[0]->respond = [&](Accepting::Peer& peer, const Words& arguments) {
-        peer.stream.write(served("for " + arguments[2]) + served("for " + arguments[2]));
+    node.hosts[0]->respond = [&](ScriptedServer::Peer& peer, const Arguments& arguments) {
+        peer.stream.write(host_response("for " + arguments[2]) +
+                          host_response("for " + arguments[2]));
     };
     EXPECT_EQ(node.exchange(query(1), response_to(1).size()), response_to(1));
     EXPECT_EQ(node.exchange(query(2), response_to(2).size()), response_to(2));
     EXPECT_EQ(node.hosts[0]->peers.size(), 2u);
     // The excess bytes arrive later, while the connection is idle.
-    node.hosts[0]->respond = [&](Accepting::Peer& peer, const Words& arguments) {
-        peer.stream.write(served("for " + arguments[2]));
+    node.hosts[0]->respond = [&](ScriptedServer::Peer& peer, const Arguments& arguments) {
+        peer.stream.write(host_response("for " + arguments[2]));
         node.loop.after(20ms, [&peer] { peer.stream.write("noise"); });
     };
     EXPECT_EQ(node.exchange(query(3), response_to(3).size()), response_to(3));
@@ -277,8 +280,8 @@
 TEST(Node, AMalformedLoadReportIsIgnoredAndTheConnectionReused) {
     TestNode node;
     for (const char* report : {"queue=", "queue=many", "\xff\xfe", "queue=-3", "queue=2", "=,="}) {
-        node.hosts[0]->respond = [&](Accepting::Peer& peer, const Words&) {
-            peer.stream.write(served("x", report));
+        node.hosts[0]->respond = [&](ScriptedServer::Peer& peer, const Arguments&) {
+            peer.stream.write(host_response("x", report));
         };
         EXPECT_EQ(node.exchange(query(1), 3), bulk("x")) << report;
     }
@@ -290,15 +293,17 @@
 TEST(Node, ARefusedConnectionIsRetriedAndAResetOneIsNot) {
     TestNode node({2});
     node.hosts[0]->listener.stop();
-    node.hosts[1]->respond = [&](Accepting::Peer& peer, const Words& arguments) {
-        peer.stream.write(served("for " + arguments[2]));
+    node.hosts[1]->respond = [&](ScriptedServer::Peer& peer, const Arguments& arguments) {
+        peer.stream.write(host_response("for " + arguments[2]));
     };
     for (std::uint64_t i = 1; i <= 4; ++i)
         EXPECT_EQ(node.exchange(submit(i, "b"), response_to(i).size()), response_to(i)) << i;
     EXPECT_EQ(node.hosts[0]->commands.size(), 0u);
     // After a reset, a keyed request may be retried only in the same cell. The cell has no other
     // host, so the request fails.
-    node.hosts[1]->respond = [&](Accepting::Peer& peer, const Words&) { peer.stream.reset(); };
+    node.hosts[1]->respond = [&](ScriptedServer::Peer& peer, const Arguments&) {
+        peer.stream.reset();
+    };
     const std::string received = node.exchange(submit(9, "b"), 5);
     EXPECT_TRUE(received.starts_with("-ERR")) << received;
 }
@@ -314,33 +319,33 @@
 
 TEST(Node, ADisconnectedClientFreesItsRequestId) {
     TestNode node;
-    node.hosts[0]->respond = [](Accepting::Peer&, const Words&) {};
+    node.hosts[0]->respond = [](ScriptedServer::Peer&, const Arguments&) {};
     {
         auto client = node.connect();
         client->stream.write(query(1));
         ASSERT_TRUE(node.run([&] { return node.command_count() == 1; }));
     }
     node.pass(20ms);
-    node.hosts[0]->respond = [](Accepting::Peer& peer, const Words&) {
-        peer.stream.write(served("later"));
+    node.hosts[0]->respond = [](ScriptedServer::Peer& peer, const Arguments&) {
+        peer.stream.write(host_response("later"));
     };
     EXPECT_EQ(node.exchange(query(1), 5), bulk("later")) << "the request id is free again";
 }
 
 TEST(NodeDiscovery, HostsAreIdentifiedByUidNotByAddress) {
     TestNode node;
-    ASSERT_TRUE(node.run([&] { return node.discovery->asked.size() == 1; }));
-    EXPECT_EQ(node.discovery->asked[0], "GET /v1/endpoints?follow=1&since=41 HTTP/1.1");
+    ASSERT_TRUE(node.run([&] { return node.discovery->request_lines.size() == 1; }));
+    EXPECT_EQ(node.discovery->request_lines[0], "GET /v1/endpoints?follow=1&since=41 HTTP/1.1");
     EXPECT_EQ(node.exchange(query(1), response_to(1).size()), response_to(1));
     // Another uid at the same address: the new host does not reuse the connections of the old one.
-    node.discovery->say(Discovery::list(
+    node.discovery->send_line(Discovery::list(
         42, false, R"({"uid":"s-1","state":"gone"},)" + node.hosts[0]->target("s-9")));
     node.pass(30ms);
     EXPECT_EQ(node.hosts[0]->ended_count, 1);
     EXPECT_EQ(node.exchange(query(2), response_to(2).size()), response_to(2));
     // The same uid at another address.
     Host moved_host(node.loop);
-    node.discovery->say(Discovery::list(43, false, moved_host.target("s-9")));
+    node.discovery->send_line(Discovery::list(43, false, moved_host.target("s-9")));
     node.pass(30ms);
     EXPECT_EQ(node.exchange(query(3), response_to(3).size()), response_to(3));
     EXPECT_EQ(moved_host.commands.size(), 1u);
@@ -349,8 +354,9 @@
 
 TEST(NodeDiscovery, ADrainingHostGetsNoNewRequests) {
     TestNode node({2});
-    ASSERT_TRUE(node.run([&] { return node.discovery->asked.size() == 1; }));
-    node.discovery->say(Discovery::list(42, false, node.hosts[0]->target("s-1", "draining", 0)));
+    ASSERT_TRUE(node.run([&] { return node.discovery->request_lines.size() == 1; }));
+    node.discovery->send_line(
+        Discovery::list(42, false, node.hosts[0]->target("s-1", "draining", 0)));
     node.pass(30ms);
     for (std::uint64_t i = 1; i <= 20; ++i)
         EXPECT_EQ(node.exchange(query(i), response_to(i).size()), response_to(i));
@@ -359,38 +365,38 @@
 
 TEST(NodeDiscovery, AMalformedListIsIgnoredAndTheCompleteListRequested) {
     TestNode node;
-    ASSERT_TRUE(node.run([&] { return node.discovery->asked.size() == 1; }));
-    node.discovery->say(R"({"rev":42,"all":true,"targets":[{"uid":"s-)");
-    EXPECT_TRUE(node.run([&] { return node.discovery->asked.size() == 2; }, 1s));
-    EXPECT_EQ(node.discovery->asked[1], "GET /v1/endpoints?follow=1 HTTP/1.1");
+    ASSERT_TRUE(node.run([&] { return node.discovery->request_lines.size() == 1; }));
+    node.discovery->send_line(R"({"rev":42,"all":true,"targets":[{"uid":"s-)");
+    EXPECT_TRUE(node.run([&] { return node.discovery->request_lines.size() == 2; }, 1s));
+    EXPECT_EQ(node.discovery->request_lines[1], "GET /v1/endpoints?follow=1 HTTP/1.1");
     EXPECT_EQ(node.exchange(query(1), response_to(1).size()), response_to(1));
 }
 
 TEST(NodeDiscovery, TheOldListIsUsedAfterAReloadUntilTheNewOneArrives) {
     TestNode node;
-    ASSERT_TRUE(node.run([&] { return node.discovery->asked.size() == 1; }));
+    ASSERT_TRUE(node.run([&] { return node.discovery->request_lines.size() == 1; }));
     Discovery other_discovery(node.loop);
     Host moved_host(node.loop);
     node.instance->reload(TestNode::config(other_discovery.address(), moved_host.target("s-9")));
     EXPECT_EQ(node.exchange(query(1), response_to(1).size()), response_to(1));
-    ASSERT_TRUE(node.run([&] { return other_discovery.asked.size() == 1; }));
-    EXPECT_EQ(other_discovery.asked[0], "GET /v1/endpoints?follow=1 HTTP/1.1")
+    ASSERT_TRUE(node.run([&] { return other_discovery.request_lines.size() == 1; }));
+    EXPECT_EQ(other_discovery.request_lines[0], "GET /v1/endpoints?follow=1 HTTP/1.1")
         << "revisions of another service are not comparable";
-    other_discovery.say(Discovery::list(3, true, moved_host.target("s-9")));
+    other_discovery.send_line(Discovery::list(3, true, moved_host.target("s-9")));
     node.pass(30ms);
     EXPECT_EQ(node.exchange(query(2), response_to(2).size()), response_to(2));
     EXPECT_EQ(moved_host.commands.size(), 1u);
     node.instance->reload(
         TestNode::config(other_discovery.address(), ""));  // the same service: no new watch
     node.pass(30ms);
-    EXPECT_EQ(other_discovery.asked.size(), 1u);
+    EXPECT_EQ(other_discovery.request_lines.size(), 1u);
 }
 
 TEST(NodeDiscovery, ConnectionsToRemovedHostsAreClosed) {
     TestNode node;
-    ASSERT_TRUE(node.run([&] { return node.discovery->asked.size() == 1; }));
+    ASSERT_TRUE(node.run([&] { return node.discovery->request_lines.size() == 1; }));
     for (int i = 0; i < 50; ++i) {
-        node.discovery->say(
+        node.discovery->send_line(
             Discovery::list(42 + i, true, node.hosts[0]->target("s-" + std::to_string(100 + i))));
         node.pass(3ms);
         const auto id = static_cast<std::uint64_t>(i + 1);
@@ -404,7 +410,7 @@
 
 TEST(NodeDrain, ServesDuringTheNoticePeriodAndAnswersRequestsInFlight) {
     TestNode node;
-    std::vector<std::pair<Accepting::Peer*, Words>> waiting;
+    std::vector<std::pair<ScriptedServer::Peer*, Arguments>> waiting;
     auto idle = node.connect(), busy = node.connect();
     idle->stream.write(ping());
     ASSERT_TRUE(node.run([&] { return idle->got == pong; }));
@@ -414,14 +420,14 @@
                          [&] { ADD_FAILURE() << "a second drain call must have no effect"; });
     EXPECT_EQ(node.exchange(query(1), response_to(1).size()), response_to(1))
         << "a new connection is still served";
-    node.hosts[0]->respond = [&](Accepting::Peer& peer, const Words& arguments) {
+    node.hosts[0]->respond = [&](ScriptedServer::Peer& peer, const Arguments& arguments) {
         waiting.emplace_back(&peer, arguments);
     };
     busy->stream.write(query(2));
     ASSERT_TRUE(node.run([&] { return waiting.size() == 1; }));
     EXPECT_TRUE(node.run([&] { return idle->over(); }, 500ms));
     EXPECT_FALSE(done);
-    waiting[0].first->stream.write(served("for " + hex(2)));
+    waiting[0].first->stream.write(host_response("for " + hex(2)));
     EXPECT_TRUE(node.run([&] { return done; }, 1s));
     node.run([&] { return busy->over(); }, 100ms);
     EXPECT_EQ(busy->got, response_to(2));
--- a/tests/node/rig.h
+++ b/tests/node/test_node.h
@@ -24,26 +24,26 @@
 using test_support::LateHost;
 
 // Accepts connections and passes the bytes received on each to a callback.
-struct Accepting {
+struct ScriptedServer {
     struct Peer : event::StreamOwner {
-        Accepting& owner;
+        ScriptedServer& owner;
         event::Stream stream;
         std::string received;
-        bool over = false;
-        Peer(Accepting& server, event::Fd fd)
+        bool is_closed = false;
+        Peer(ScriptedServer& server, event::Fd fd)
             : owner(server), stream(server.loop, std::move(fd), *this) {}
         void on_data(std::string_view bytes) override {
             received.append(bytes), owner.on_received(*this);
         }
-        void on_end() override { over = true, stream.close(), ++owner.ended_count; }
-        void on_broken(int) override { over = true, ++owner.ended_count; }
+        void on_end() override { is_closed = true, stream.close(), ++owner.ended_count; }
+        void on_broken(int) override { is_closed = true, ++owner.ended_count; }
     };
     event::Loop& loop;
     std::vector<std::unique_ptr<Peer>> peers;
     int ended_count = 0;
     std::function<void(Peer&)> on_received;
     event::Listener listener;
-    Accepting(event::Loop& event_loop, std::function<void(Peer&)> on_peer_data)
+    ScriptedServer(event::Loop& event_loop, std::function<void(Peer&)> on_peer_data)
         : loop(event_loop),
           on_received(std::move(on_peer_data)),
           listener(
@@ -54,9 +54,9 @@
     std::string address() const { return "127.0.0.1:" + std::to_string(listener.port()); }
 };
 
-using Words = std::vector<std::string>;
+using Arguments = std::vector<std::string>;
 
-inline std::string served(const std::string& value, const std::string& report = "") {
+inline std::string host_response(const std::string& value, const std::string& report = "") {
     std::string out;
     resp::append_array(out, 3);
     resp::append_bulk(out, value);
@@ -68,17 +68,18 @@
     return out;
 }
 
-struct Host : Accepting {
-    std::vector<Words> commands;
-    std::function<void(Peer&, const Words&)> respond = [](Peer& peer, const Words& arguments) {
-        peer.stream.write(served("for " + arguments[2]));
+struct Host : ScriptedServer {
+    std::vector<Arguments> commands;
+    std::function<void(Peer&, const Arguments&)> respond = [](Peer& peer,
+                                                              const Arguments& arguments) {
+        peer.stream.write(host_response("for " + arguments[2]));
     };
     explicit Host(event::Loop& event_loop)
-        : Accepting(event_loop, [this](Peer& peer) { read_commands(peer); }) {}
+        : ScriptedServer(event_loop, [this](Peer& peer) { read_commands(peer); }) {}
     void read_commands(Peer& peer) {
         resp::CommandParser parser;
         while (parser.parse(peer.received) == resp::ParseStatus::complete) {
-            Words arguments;
+            Arguments arguments;
             for (std::size_t i = 0; i < parser.argument_count(); ++i)
                 arguments.emplace_back(parser.argument(peer.received, i));
             peer.received.erase(0, parser.consumed());
@@ -101,34 +102,34 @@
            R"(","capacity_hint":1,"boot_ms":0})";
 }
 
-struct Discovery : Accepting {
-    std::vector<std::string> asked;
-    std::string first;   // sent to each new watch
-    Micros patience{0};  // delay of each response
+struct Discovery : ScriptedServer {
+    std::vector<std::string> request_lines;
+    std::string initial_list;  // sent to each new watch
+    Micros response_delay{0};  // from a request to its response
     explicit Discovery(event::Loop& event_loop)
-        : Accepting(event_loop, [this](Peer& peer) { read_requests(peer); }) {}
+        : ScriptedServer(event_loop, [this](Peer& peer) { read_requests(peer); }) {}
     void read_requests(Peer& peer) {
         const auto end = peer.received.find("\r\n\r\n");
         if (end == std::string::npos) return;
-        asked.push_back(peer.received.substr(0, peer.received.find("\r\n")));
+        request_lines.push_back(peer.received.substr(0, peer.received.find("\r\n")));
         peer.received.erase(0, end + 4);
-        if (patience == 0us) return send_response(peer);
-        loop.after(patience, [this, &peer] {
-            if (!peer.over) send_response(peer);
+        if (response_delay == 0us) return send_response(peer);
+        loop.after(response_delay, [this, &peer] {
+            if (!peer.is_closed) send_response(peer);
         });
     }
     void send_response(Peer& peer) const {
         peer.stream.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        if (!first.empty()) say(peer, first + "\n");
+        if (!initial_list.empty()) send_chunk(peer, initial_list + "\n");
     }
-    static void say(Peer& peer, const std::string& text) {
+    static void send_chunk(Peer& peer, const std::string& text) {
         char size[16];
         snprintf(size, sizeof size, "%zx\r\n", text.size());
         peer.stream.write(size + text + "\r\n");
     }
-    void say(const std::string& line) {
+    void send_line(const std::string& line) {
         for (auto& peer : peers)
-            if (!peer->over) say(*peer, line + "\n");
+            if (!peer->is_closed) send_chunk(*peer, line + "\n");
     }
     static std::string list(int revision, bool complete, const std::string& targets) {
         return R"({"rev":)" + std::to_string(revision) + R"(,"all":)" +
