--- a/tests/node/endings_test.cpp
+++ b/tests/node/endings_test.cpp
@@ -198,7 +198,7 @@
     node.pass(20ms);
     node.host_peer->stream.write(host_response("for " + hex(1)));
     ASSERT_TRUE(node.run([&] { return node.client->got.ends_with(pong); }, 1s))
-        << "the response precedes the request's deadline";
+        << "the response comes long before the request's deadline";
     EXPECT_TRUE(node.client->got.starts_with(response_to(1) + "-")) << node.client->got;
 }
 
