--- a/tests/faults/client_end_test.cpp
+++ b/tests/faults/client_end_test.cpp
@@ -9,10 +9,10 @@
     FaultNode node(2);
     std::vector<Micros> attempt_times;
     for (auto& host : node.hosts)
-        host->respond = [&](Accepting::Peer& peer, const Words& words) {
+        host->respond = [&](ScriptedServer::Peer& peer, const Arguments& words) {
             attempt_times.push_back(event::Loop::clock());
             node.loop.after(200ms, [&peer, value = "for " + words[2]] {
-                if (!peer.over) peer.stream.write(served(value));
+                if (!peer.is_closed) peer.stream.write(host_response(value));
             });
         };
     ASSERT_TRUE(node.start());
@@ -36,9 +36,9 @@
         return replace_once(std::move(config), "\"memory_mb\":64", "\"memory_mb\":4");
     });
     for (auto& host : node.hosts)
-        host->respond = [&](Accepting::Peer& peer, const Words& words) {
+        host->respond = [&](ScriptedServer::Peer& peer, const Arguments& words) {
             node.loop.after(500ms, [&peer, value = "for " + words[2]] {
-                if (!peer.over) peer.stream.write(served(value));
+                if (!peer.is_closed) peer.stream.write(host_response(value));
             });
         };
     ASSERT_TRUE(node.start());
--- a/tests/faults/deadline_test.cpp
+++ b/tests/faults/deadline_test.cpp
@@ -21,11 +21,11 @@
     std::vector<ReceivedAttempt> attempts;
     Micros written_at{0};
     for (auto& host : node.hosts)
-        host->respond = [&](Accepting::Peer& peer, const Words& words) {
+        host->respond = [&](ScriptedServer::Peer& peer, const Arguments& words) {
             attempts.push_back({event::Loop::clock() - written_at,
                                 std::chrono::milliseconds(list_value(words, "d"))});
             node.loop.after(300ms, [&peer, value = "for " + words[2]] {
-                if (!peer.over) peer.stream.write(served(value));
+                if (!peer.is_closed) peer.stream.write(host_response(value));
             });
         };
     ASSERT_TRUE(node.start());
@@ -69,7 +69,8 @@
     EXPECT_GT(elapsed.count(), Micros(500ms).count()) << "the connection was not delayed";
     resp::CommandParser parser;
     ASSERT_EQ(parser.parse(delayed_host.received_text()), resp::ParseStatus::complete);
-    const Words words = {"", "", "", std::string(parser.argument(delayed_host.received_text(), 3))};
+    const Arguments words = {"", "", "",
+                             std::string(parser.argument(delayed_host.received_text(), 3))};
     EXPECT_LE(list_value(words, "d"), 1900 - elapsed.count() / 1000 + 150);
     EXPECT_GT(list_value(words, "d"), 0);
 }
@@ -83,18 +84,21 @@
         return replace_once(std::move(config), "\"repeatWindowUs\":1200000",
                             "\"repeatWindowUs\":800000");
     });
-    Accepting::Peer* first_peer = nullptr;
-    node.hosts[0]->respond = [&](Accepting::Peer& peer, const Words&) { first_peer = &peer; };
+    ScriptedServer::Peer* first_peer = nullptr;
+    node.hosts[0]->respond = [&](ScriptedServer::Peer& peer, const Arguments&) {
+        first_peer = &peer;
+    };
     ASSERT_TRUE(node.start());
-    ASSERT_TRUE(node.run_until([&] { return !node.discovery->asked.empty(); }));
+    ASSERT_TRUE(node.run_until([&] { return !node.discovery->request_lines.empty(); }));
     auto client = node.connect();
     client->stream.write(replace_once(submit(1, "SHEET"), "d=1500", "d=1900"));
     ASSERT_TRUE(node.run_until([&] { return first_peer != nullptr; }));
     // The host of the first attempt drains and resets its connection; the delayed host is the only
     // other one in its cell.
-    node.discovery->say(Discovery::list(42, false,
-                                        node.hosts[0]->target("s-1", "draining") + "," +
-                                            replace_once(target(delayed_host), "s-1", "s-2")));
+    node.discovery->send_line(
+        Discovery::list(42, false,
+                        node.hosts[0]->target("s-1", "draining") + "," +
+                            replace_once(target(delayed_host), "s-1", "s-2")));
     node.run_for(50ms);
     first_peer->stream.reset();
     node.run_for(
@@ -111,10 +115,10 @@
         FaultNode node(1, with_long_promise);
         std::vector<ReceivedAttempt> attempts;
         Micros written_at{0};
-        node.hosts[0]->respond = [&](Accepting::Peer& peer, const Words& words) {
+        node.hosts[0]->respond = [&](ScriptedServer::Peer& peer, const Arguments& words) {
             attempts.push_back({event::Loop::clock() - written_at,
                                 std::chrono::milliseconds(list_value(words, "d"))});
-            peer.stream.write(served("for " + words[2]));
+            peer.stream.write(host_response("for " + words[2]));
         };
         ASSERT_TRUE(node.start());
         auto client = node.connect();
--- a/tests/faults/host_test.cpp
+++ b/tests/faults/host_test.cpp
@@ -83,11 +83,11 @@
 TEST(ConnectionErrors, ReceiveErrorClosesTheConnectionAndTheRequestIsRetried) {
     for (const int error : {ECONNRESET, ETIMEDOUT, EHOSTUNREACH, ENETDOWN}) {
         FaultNode node(2);
-        Accepting::Peer* first_peer = nullptr;
+        ScriptedServer::Peer* first_peer = nullptr;
         for (auto& host : node.hosts)
-            host->respond = [&](Accepting::Peer& peer, const Words& words) {
+            host->respond = [&](ScriptedServer::Peer& peer, const Arguments& words) {
                 if (!std::exchange(first_peer, &peer)) return;
-                peer.stream.write(served("for " + words[2]));
+                peer.stream.write(host_response("for " + words[2]));
             };
         ASSERT_TRUE(node.start());
         auto client = node.connect();
@@ -96,7 +96,7 @@
         // The host's answer cannot be read, so the attempt may have run; requests of this class may
         // be repeated.
         node.process->faults.fail(faults::recv_call, error, 1, 5s);
-        first_peer->stream.write(served("unread"));
+        first_peer->stream.write(host_response("unread"));
         EXPECT_TRUE(node.run_until([&] { return client->received == bulk("for " + hex(1)); }, 2s))
             << error << ": " << client->received;
         EXPECT_EQ(node.process->faults.failed_calls(faults::recv_call), 1);
@@ -107,7 +107,7 @@
     for (const int error : {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, ECONNRESET}) {
         FaultNode node(2);
         ASSERT_TRUE(node.start());
-        ASSERT_TRUE(node.run_until([&] { return !node.discovery->asked.empty(); }));
+        ASSERT_TRUE(node.run_until([&] { return !node.discovery->request_lines.empty(); }));
         node.process->faults.fail(faults::connect_result, error, 1, 5s);
         EXPECT_TRUE(node.serves_request(1)) << error;
         EXPECT_EQ(node.process->faults.failed_calls(faults::connect_result), 1);
--- a/tests/faults/log_test.cpp
+++ b/tests/faults/log_test.cpp
@@ -33,7 +33,7 @@
 // Makes the node log `count` lines, one for each change of the list.
 void send_list_changes(FaultNode& node, int first_revision, int count) {
     for (int i = 0; i < count; ++i)
-        node.discovery->say(
+        node.discovery->send_line(
             Discovery::list(first_revision + i, false, node.hosts[0]->target("s-1")));
     node.run_for(50ms);
 }
--- a/tests/faults/slow_start_test.cpp
+++ b/tests/faults/slow_start_test.cpp
@@ -24,17 +24,18 @@
     // Answers after a delay that varies between requests; with a constant delay the gateway would
     // keep to the host that was fastest once.
     void respond_with_delay(Host& host) {
-        host.respond = [this](Accepting::Peer& peer, const Words& words) {
+        host.respond = [this](ScriptedServer::Peer& peer, const Arguments& words) {
             node.loop.after(std::chrono::milliseconds(20 + last_id * 7 % 30),
                             [&peer, value = "for " + words[2]] {
-                                if (!peer.over) peer.stream.write(served(value));
+                                if (!peer.is_closed) peer.stream.write(host_response(value));
                             });
         };
     }
     bool start() {
         for (auto& host : node.hosts)
             respond_with_delay(*host);
-        if (!node.start() || !node.run_until([&] { return !node.discovery->asked.empty(); }))
+        if (!node.start() ||
+            !node.run_until([&] { return !node.discovery->request_lines.empty(); }))
             return false;
         client = node.connect();
         return true;
@@ -69,7 +70,7 @@
         announce_host(boot_ms);
     }
     void announce_host(std::int64_t boot_ms) {
-        node.discovery->say(
+        node.discovery->send_line(
             Discovery::list(++revision, false,
                             replace_once(node.hosts.back()->target("s-new"), "\"boot_ms\":0",
                                          "\"boot_ms\":" + std::to_string(boot_ms))));
--- a/tests/faults/start_test.cpp
+++ b/tests/faults/start_test.cpp
@@ -70,7 +70,7 @@
         EXPECT_TRUE(node.serves_request(1))
             << "the previous configuration must serve until the reload";
         if (is_truncated) node.process->configure(new_config);
-        EXPECT_TRUE(node.run_until([&] { return !new_discovery.asked.empty(); }, 3s))
+        EXPECT_TRUE(node.run_until([&] { return !new_discovery.request_lines.empty(); }, 3s))
             << node.process->log();
     }
 }
