--- a/tests/faults/discovery_test.cpp
+++ b/tests/faults/discovery_test.cpp
@@ -6,8 +6,9 @@
 
 TEST(SlowDiscovery, GetsALongerFirstListTimeout) {
     FaultNode node;
-    node.discovery->patience = 1500ms;
-    node.discovery->first = Discovery::list(50, true, node.hosts[0]->target("s-1", "draining"));
+    node.discovery->response_delay = 1500ms;
+    node.discovery->initial_list =
+        Discovery::list(50, true, node.hosts[0]->target("s-1", "draining"));
     ASSERT_TRUE(node.start());
     EXPECT_TRUE(node.run_until(
         [&] { return node.process->log().find("revision=50") != std::string::npos; }, 6s))
--- a/tests/faults/fault_node.h
+++ b/tests/faults/fault_node.h
@@ -5,7 +5,7 @@
 #include <sys/resource.h>
 
 #include "resp/reply_parser.h"
-#include "tests/node/rig.h"
+#include "tests/node/test_node.h"
 #include "tests/support/node_process.h"
 
 namespace fault_test {
@@ -27,7 +27,7 @@
     return parsed;
 }
 // Returns the number with this name in the command's list of values, or -1 if it is missing.
-inline std::int64_t list_value(const Words& command, const std::string& name) {
+inline std::int64_t list_value(const Arguments& command, const std::string& name) {
     const std::string list = "," + command.at(3);
     const std::size_t position = list.find("," + name + "=");
     return position == std::string::npos ? -1 : std::stoll(list.substr(position + name.size() + 2));
