--- a/fakes/client.h
+++ b/fakes/client.h
@@ -11,7 +11,7 @@
 
 #include "event/deferred_deletion.h"
 #include "event/stream.h"
-#include "fakes/record.h"
+#include "fakes/recorder.h"
 #include "http/parser.h"
 
 namespace silverreach::fakes {
--- a/fakes/roster.cpp
+++ b/fakes/discovery_server.cpp
@@ -1,10 +1,11 @@
-#include "fakes/roster.h"
+#include "fakes/discovery_server.h"
 
 #include <fmt/format.h>
 
 namespace silverreach::fakes {
 
-RosterServer::RosterServer(event::Loop& loop, std::string cluster, Micros lag, Recorder& records)
+DiscoveryServer::DiscoveryServer(event::Loop& loop, std::string cluster, Micros lag,
+                                 Recorder& records)
     : loop_(loop),
       cluster_(std::move(cluster)),
       lag_(lag),
@@ -14,18 +15,18 @@
           [this](Server::Token t, const http::Head& h, const std::string& b) { handle(t, h, b); }) {
 }
 
-void RosterServer::change(std::function<void()> make) {
+void DiscoveryServer::change(std::function<void()> make) {
     if (lag_ <= Micros(0)) return make(), void(++version_);
     loop_.after(lag_, [this, make = std::move(make)] { make(), ++version_; });
 }
-void RosterServer::set(const std::string& host, const RosterEntry& entry) {
+void DiscoveryServer::set(const std::string& host, const DiscoveryEntry& entry) {
     change([this, host, entry] { hosts_[host] = entry; });
 }
-void RosterServer::remove(const std::string& host) {
+void DiscoveryServer::remove(const std::string& host) {
     change([this, host] { hosts_.erase(host); });
 }
 
-std::string RosterServer::json() const {
+std::string DiscoveryServer::json() const {
     std::map<std::string, nlohmann::json> zones;
     for (const auto& [host, e] : hosts_) {
         const std::size_t colon = host.rfind(':');
@@ -52,7 +53,7 @@
         .dump();
 }
 
-void RosterServer::handle(Server::Token token, const http::Head& head, const std::string& body) {
+void DiscoveryServer::handle(Server::Token token, const http::Head& head, const std::string& body) {
     const auto request = nlohmann::json::parse(body, nullptr, false);
     if (head.target != "/v3/discovery:endpoints" || !request.is_object()) {
         server_.answer(token, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", false);
--- a/fakes/roster.h
+++ b/fakes/discovery_server.h
@@ -5,25 +5,25 @@
 #include <map>
 #include <string>
 
-#include "fakes/record.h"
+#include "fakes/recorder.h"
 #include "fakes/server.h"
 
 namespace silverreach::fakes {
 
-struct RosterEntry {
+struct DiscoveryEntry {
     std::string state = "HEALTHY";  // or DRAINING; hosts that are gone are left out
     std::string zone, kind;
     int cell = 0;
     std::int64_t started_unix_ms = 0;
-    bool operator==(const RosterEntry&) const = default;
+    bool operator==(const DiscoveryEntry&) const = default;
 };
 
-class RosterServer {
+class DiscoveryServer {
   public:
-    RosterServer(event::Loop& loop, std::string cluster, Micros lag, Recorder& records);
+    DiscoveryServer(event::Loop& loop, std::string cluster, Micros lag, Recorder& records);
     int port() const { return server_.port(); }
     // Tells gateways from `lag` on.
-    void set(const std::string& host, const RosterEntry& entry);
+    void set(const std::string& host, const DiscoveryEntry& entry);
     void remove(const std::string& host);
     // The list as a file holds it.
     std::string json() const;
@@ -36,7 +36,7 @@
     std::string cluster_;
     Micros lag_;
     Recorder& records_;
-    std::map<std::string, RosterEntry> hosts_;
+    std::map<std::string, DiscoveryEntry> hosts_;
     std::uint64_t version_ = 1;
     std::map<std::string, std::uint64_t> told_;  // by node: the version recorded last
     Server server_;
--- a/fakes/host.h
+++ b/fakes/host.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "fakes/record.h"
+#include "fakes/host_model.h"
+#include "fakes/recorder.h"
 #include "fakes/server.h"
-#include "fakes/tally.h"
 
 namespace silverreach::fakes {
 
--- a/fakes/tally.cpp
+++ b/fakes/host_model.cpp
@@ -1,4 +1,4 @@
-#include "fakes/tally.h"
+#include "fakes/host_model.h"
 
 #include <algorithm>
 
--- a/fakes/record.cpp
+++ b/fakes/recorder.cpp
@@ -1,4 +1,4 @@
-#include "fakes/record.h"
+#include "fakes/recorder.h"
 
 #include <stdexcept>
 
--- a/scenario_runner/commands.cpp
+++ b/scenario_runner/commands.cpp
@@ -11,10 +11,10 @@
 
 #include "config/config.h"
 #include "event/signal.h"
+#include "fakes/discovery_server.h"
 #include "fakes/relay.h"
-#include "fakes/roster.h"
-#include "scenario_runner/drill.h"
 #include "scenario_runner/fleet/socket_fleet.h"
+#include "scenario_runner/scenario_run.h"
 
 namespace silverreach::scenario {
 namespace {
@@ -145,7 +145,7 @@
 int run_roster(const std::vector<std::string>& hosts, const std::string& cluster) {
     event::Loop loop;
     fakes::Recorder records("/dev/stdout");
-    fakes::RosterServer roster(loop, cluster, Micros(0), records);
+    fakes::DiscoveryServer roster(loop, cluster, Micros(0), records);
     for (const std::string& host : hosts)
         roster.set(host, {});
     std::cerr << "listening on 127.0.0.1:" << roster.port() << std::endl;
--- a/scenario_runner/fleet/measure.cpp
+++ b/scenario_runner/fleet/fleet_metrics.cpp
@@ -1,4 +1,4 @@
-#include "scenario_runner/fleet/measure.h"
+#include "scenario_runner/fleet/fleet_metrics.h"
 
 #include <fmt/format.h>
 
--- a/scenario_runner/fleet/measure.h
+++ b/scenario_runner/fleet/fleet_metrics.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "scenario_runner/fleet/fleet.h"
+#include "scenario_runner/fleet/fleet_scenario.h"
 
 namespace silverreach::scenario {
 
--- a/scenario_runner/fleet/fleet.cpp
+++ b/scenario_runner/fleet/fleet_scenario.cpp
@@ -1,9 +1,9 @@
-#include "scenario_runner/fleet/fleet.h"
+#include "scenario_runner/fleet/fleet_scenario.h"
 
 #include <algorithm>
 #include <map>
 
-#include "scenario_runner/reader.h"
+#include "scenario_runner/mapping_reader.h"
 
 namespace silverreach::scenario {
 namespace {
--- a/scenario_runner/fleet/virtual_fleet.h
+++ b/scenario_runner/fleet/virtual_fleet.h
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "scenario_runner/fleet/measure.h"
+#include "scenario_runner/fleet/fleet_metrics.h"
 
 namespace silverreach::scenario {
 
--- a/scenario_runner/judge.cpp
+++ b/scenario_runner/invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "scenario_runner/judge.h"
+#include "scenario_runner/invariant_checker.h"
 
 #include <fmt/format.h>
 
--- a/scenario_runner/scenario.cpp
+++ b/scenario_runner/scenario.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <set>
 
-#include "scenario_runner/reader.h"
+#include "scenario_runner/mapping_reader.h"
 
 namespace silverreach::scenario {
 namespace {
--- a/scenario_runner/drill.cpp
+++ b/scenario_runner/scenario_run.cpp
@@ -1,4 +1,4 @@
-#include "scenario_runner/drill.h"
+#include "scenario_runner/scenario_run.h"
 
 #include <fmt/format.h>
 #include <google/protobuf/text_format.h>
@@ -11,8 +11,8 @@
 #include <utility>
 
 #include "config/config.h"
+#include "fakes/discovery_server.h"
 #include "fakes/relay.h"
-#include "fakes/roster.h"
 #include "scenario_runner/gateway_process.h"
 
 namespace silverreach::scenario {
@@ -271,7 +271,7 @@
     event::Loop loop_;
     fakes::Recorder records_;
     config::Config base_;
-    fakes::RosterServer roster_;
+    fakes::DiscoveryServer roster_;
     std::map<std::string, std::string> plan_of_;
     std::vector<std::unique_ptr<fakes::Host>> hosts_;
     std::unique_ptr<fakes::Relay> relay_;
--- a/scenario_runner/drill.h
+++ b/scenario_runner/scenario_run.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <string>
 
-#include "scenario_runner/judge.h"
+#include "scenario_runner/invariant_checker.h"
 #include "scenario_runner/scenario.h"
 
 namespace CLI {
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -16,7 +16,7 @@
 #include "cli/node_program.h"
 #include "event/signal.h"
 #include "event/system_error.h"
-#include "scenario_runner/drill.h"
+#include "scenario_runner/scenario_run.h"
 
 namespace silverreach::cli {
 namespace {
--- a/tests/gateway/fleet_test.cpp
+++ b/tests/gateway/fleet_test.cpp
@@ -4,7 +4,7 @@
 #include <netinet/in.h>
 #include <sys/socket.h>
 
-#include "fakes/roster.h"
+#include "fakes/discovery_server.h"
 #include "rig.h"
 
 using namespace rig;
@@ -25,7 +25,7 @@
     std::vector<std::vector<EndpointEntry>> lists;
     int bad = 0, unreachable = 0;
     fakes::Recorder records;
-    auto service = std::make_unique<fakes::RosterServer>(loop, "hosts", Micros(0), records);
+    auto service = std::make_unique<fakes::DiscoveryServer>(loop, "hosts", Micros(0), records);
     service->set("127.0.0.1:81", {});
     config.mutable_hosts()->set_discovery("127.0.0.1:" + std::to_string(service->port()));
     config.mutable_hosts()->set_discovery_ms(10);
--- a/tests/scenario_runner/judge_test.cpp
+++ b/tests/scenario_runner/invariant_checker_test.cpp
@@ -1,9 +1,9 @@
 // The judge is shown to fail: each rule is broken once in a record that is good without that.
-#include "scenario_runner/judge.h"
+#include "scenario_runner/invariant_checker.h"
 
 #include <gtest/gtest.h>
 
-#include "fakes/tally.h"
+#include "fakes/host_model.h"
 #include "scenario_runner/scenario.h"
 
 using namespace silverreach::scenario;
