--- a/fakes/client.h
+++ b/fakes/client.h
@@ -1,5 +1,5 @@
-// Clients of the gateways on loopback: they send at a stated rate, give up at their deadline, and
-// try again as the answers allow.
+// Fake clients of the gateways on loopback: they send requests at a stated rate, give up after
+// their deadline and retry as the responses allow.
 #pragma once
 
 #include <functional>
@@ -16,55 +16,56 @@
 
 namespace silverreach::fakes {
 
-struct Flow {  // of one account's requests to one route
+struct Flow {  // requests of one account to one route
     std::string account, key, method = "GET", target = "/", effect = "safe",
                               key_header = "X-Api-Key";
-    double rate = 1;  // requests a second
+    double rate = 1;  // requests per second
     double units = 1;
     Micros deadline{0};
-    int body = 0;           // bytes
-    int retries = 0;        // tries again after a refusal, at most
-    double burst_rate = 0;  // instead of `rate` between burst_from and burst_until
-    Micros burst_from{0}, burst_until{0};
+    int body_size = 0;                     // bytes
+    int retries = 0;                       // maximum per operation
+    double burst_rate = 0;                 // replaces `rate` between burst_from and burst_until
+    Micros burst_from{0}, burst_until{0};  // since the flow started
 };
 
 class Clients {
   public:
-    // `gateways` gives the ports that can be reached now; a port below 1 is one that clients still
-    // try in vain.
+    // `gateway_ports` returns the current port of each gateway by rank; below 1: the gateway is
+    // down. Clients still choose such a gateway, and the request fails as unreached.
     Clients(event::Loop& loop, std::uint64_t seed, Recorder& records,
-            std::function<std::vector<int>()> gateways);
+            std::function<std::vector<int>()> gateway_ports);
     ~Clients();
-    void run(const Flow& flow, Micros until);
-    void ask(const Flow& flow, int gateway);  // one request now, at that gateway
-    std::size_t waiting() const { return waiting_; }
+    void run(const Flow& flow, Micros duration);  // sends requests for `duration`
+    void send_one(const Flow& flow, int gateway);
+    std::size_t in_flight() const { return in_flight_; }
 
   private:
     struct Connection;
-    struct Try {
+    struct Request {
         Flow flow;
-        std::string id, op;
+        std::string id, operation;
         int retry = 0;
     };
-    void arrive(std::size_t flow);
-    void send(Try t);
-    void send(Try t, int gateway);
-    void over(Connection& c, bool reuse);
-    Connection* connection(int gateway, int port);
-    void ended(const Try& t, int status, Micros retry_after, bool harmless);
+    void schedule_request(std::size_t flow_index);
+    void send(Request request);
+    void send(Request request, int gateway);
+    void release(Connection& connection, bool reuse);
+    Connection* acquire_connection(int gateway, int port);
+    void on_request_ended(const Request& request, int status, Micros retry_after,
+                          bool may_retry_safely);
     std::string make_id();
 
     event::Loop& loop_;
     std::mt19937_64 random_;
     Recorder& records_;
-    std::function<std::vector<int>()> gateways_;
-    Micros begin_{0};
-    std::vector<std::pair<Flow, Micros>> flows_;
+    std::function<std::vector<int>()> gateway_ports_;
+    Micros began_at_{0};
+    std::vector<std::pair<Flow, Micros>> flows_;                    // each with its duration
     std::map<int, std::vector<std::unique_ptr<Connection>>> idle_;  // by port
     std::vector<std::unique_ptr<Connection>> in_use_;
     event::DeferredDeletion<Connection> deferred_deletion_;
-    std::size_t waiting_ = 0;
-    std::uint64_t next_ = 1;
+    std::size_t in_flight_ = 0;
+    std::uint64_t next_id_ = 1;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/fakes/discovery_server.h
+++ b/fakes/discovery_server.h
@@ -1,5 +1,5 @@
-// A discovery service on loopback: xDS v3 endpoint discovery as REST-JSON, told late as a real one
-// is.
+// A fake discovery service on loopback: xDS v3 endpoint discovery as REST-JSON, with a delay before
+// changes become visible.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 namespace silverreach::fakes {
 
 struct DiscoveryEntry {
-    std::string state = "HEALTHY";  // or DRAINING; hosts that are gone are left out
+    std::string state = "HEALTHY";  // or DRAINING; removed hosts have no entry
     std::string zone, kind;
     int cell = 0;
     std::int64_t started_unix_ms = 0;
@@ -20,25 +20,25 @@
 
 class DiscoveryServer {
   public:
-    DiscoveryServer(event::Loop& loop, std::string cluster, Micros lag, Recorder& records);
+    DiscoveryServer(event::Loop& loop, std::string cluster, Micros delay, Recorder& records);
     int port() const { return server_.port(); }
-    // Tells gateways from `lag` on.
+    // Gateways see a change after `delay`.
     void set(const std::string& host, const DiscoveryEntry& entry);
     void remove(const std::string& host);
-    // The list as a file holds it.
-    std::string json() const;
+    // Returns the host list in the format of the response, which a host file has too.
+    std::string to_json() const;
 
   private:
-    void handle(Server::Token token, const http::Head& head, const std::string& body);
-    void change(std::function<void()> make);
+    void handle_request(Server::Token token, const http::Head& head, const std::string& body);
+    void apply_later(std::function<void()> change);
 
     event::Loop& loop_;
     std::string cluster_;
-    Micros lag_;
+    Micros delay_;
     Recorder& records_;
     std::map<std::string, DiscoveryEntry> hosts_;
     std::uint64_t version_ = 1;
-    std::map<std::string, std::uint64_t> told_;  // by node: the version recorded last
+    std::map<std::string, std::uint64_t> recorded_versions_;  // latest one, by node
     Server server_;
 };
 
--- a/fakes/host.h
+++ b/fakes/host.h
@@ -1,4 +1,4 @@
-// A tally host on a loopback socket: the model behind HTTP, with the faults that a bad day needs.
+// A fake host on a loopback socket: serves HTTP with the timing of HostModel and can inject faults.
 #pragma once
 
 #include <functional>
@@ -15,67 +15,68 @@
 
 namespace silverreach::fakes {
 
-// Which keyed effects the hosts of one group remember, with the time each ran.
-struct Group {
-    Micros window{0};
-    std::unordered_map<std::string, Micros> ran;
+// Hosts that share the memory of idempotency keys.
+struct DeduplicationGroup {
+    Micros window{0};                                     // how long a key is remembered
+    std::unordered_map<std::string, Micros> executed_at;  // by idempotency key
 };
 
 struct HostSettings {
-    TallySettings tally;
-    Micros mean_work{20'000};
+    HostModelSettings model;
+    Micros mean_work{20'000};  // of a request of one unit
     std::string key_header = "X-Api-Key", units_header = "X-Units";
     std::string ip = "127.0.0.1";
-    int port = 0;
+    int port = 0;  // 0: any free port
     std::string zone, kind;
     int cell = 0;
 };
 
 class Host {
   public:
-    // `plan_of` tells the plan of an account's key, for refusals of one plan. All references must
-    // outlive the host.
+    // `plan_of_key` returns the plan of an API key, for reject_plan(). The loop and the recorder
+    // must outlive the host.
     Host(event::Loop& loop, HostSettings settings, std::uint64_t seed, Recorder& records,
-         std::shared_ptr<Group> group, std::function<std::string(const std::string&)> plan_of);
+         std::shared_ptr<DeduplicationGroup> group,
+         std::function<std::string(const std::string&)> plan_of_key);
     ~Host();
 
     const std::string& address() const { return address_; }
-    const HostSettings& settings() const { return s_; }
+    const HostSettings& settings() const { return settings_; }
     bool running() const { return server_ != nullptr; }
-    std::int64_t started_unix_ms() const { return started_unix_ms_; }
+    std::int64_t started_unix_ms() const { return started_unix_ms_; }  // 0: not started cold
 
-    void kill();            // as the process would die: connections break
-    void start(bool cold);  // on the same address
-    void stall(bool on);  // reads on, so that records hold the time of sending, but answers nothing
-    void refuse_plan(const std::string& plan);  // turns that plan away as full; empty: nobody
-    void cut_answers(bool on);                  // ends its answers in the middle
+    void kill();                // resets all connections, as the end of a process does
+    void start(bool is_cold);   // on the same address; a cold host begins a slow start
+    void set_stalled(bool on);  // a stalled host reads and records requests, but does not respond
+    void reject_plan(const std::string& plan);  // responds 503 to that plan's requests; empty: none
+    void truncate_responses(bool on);           // closes the connection within the response body
 
   private:
     struct Job {
         Server::Token token = 0;
-        std::string id, key, op, effect;
-        bool head_method = false;
+        std::string id, idempotency_key, operation, effect;
+        bool is_head_request = false;
     };
-    void handle(Server::Token token, const http::Head& head, const std::string& body);
-    void advance();
-    void arm();
-    void answer(Server::Token token, int status, const std::string& fields, const std::string& body,
-                bool to_head);
-    std::string report();
+    void handle_request(Server::Token token, const http::Head& head, const std::string& body);
+    void complete_jobs();
+    void schedule_completion();
+    void respond(Server::Token token, int status, const std::string& fields,
+                 const std::string& body, bool to_head_request);
+    std::string load_report_field();
 
     event::Loop& loop_;
-    HostSettings s_;
+    HostSettings settings_;
     std::mt19937_64 random_;
     Recorder& records_;
-    std::shared_ptr<Group> group_;
-    std::function<std::string(const std::string&)> plan_of_;
-    std::string address_, refused_plan_;
+    std::shared_ptr<DeduplicationGroup> group_;
+    std::function<std::string(const std::string&)> plan_of_key_;
+    std::string address_, rejected_plan_;
     std::unique_ptr<Server> server_;
-    std::unique_ptr<Tally> tally_;
+    std::unique_ptr<HostModel> model_;
     std::unordered_map<std::uint64_t, Job> jobs_;
-    std::uint64_t next_job_ = 1, life_ = 0;
+    std::uint64_t next_job_ = 1, incarnation_ = 0;
     std::int64_t started_unix_ms_ = 0;
-    bool stalled_ = false, cut_ = false;
+    bool is_stalled_ = false, truncates_responses_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/fakes/host_model.cpp
+++ b/fakes/host_model.cpp
@@ -4,70 +4,76 @@
 
 namespace silverreach::fakes {
 namespace {
-double seconds(Micros t) {
-    return static_cast<double>(t.count()) / 1e6;
+double seconds(Micros duration) {
+    return static_cast<double>(duration.count()) / 1e6;
 }
-constexpr double chance_slack = 2;  // largest jobs above the budget that pass, for chance
+// Jobs of the latest size by which the recent work may exceed the budget, for random variation.
+constexpr double tolerated_jobs = 2;
 }  // namespace
 
-double Tally::share(Micros now) const {
-    if (s_.cold <= Micros(0)) return 1;
-    const double age = seconds(now - started_) / seconds(s_.cold);
-    return age >= 1 ? 1 : s_.start_capacity + (1 - s_.start_capacity) * std::max(0.0, age);
+double HostModel::capacity_share(Micros now) const {
+    if (settings_.slow_start_window <= Micros(0)) return 1;
+    const double age = seconds(now - started_at_) / seconds(settings_.slow_start_window);
+    return age >= 1 ? 1
+                    : settings_.initial_capacity_share +
+                          (1 - settings_.initial_capacity_share) * std::max(0.0, age);
 }
-double Tally::capacity(Micros now) const {
-    return s_.cores * s_.speed * share(now);
+double HostModel::capacity(Micros now) const {
+    return settings_.cores * settings_.speed * capacity_share(now);
 }
 
-bool Tally::arrive(Micros now, std::uint64_t job, Micros work) {
-    if (fallen_) return false;
-    if (s_.fall_multiple > 0 && share(now) < 1) {
-        lately_.emplace_back(now, work);
-        lately_work_ += work;
-        while (lately_.front().first + s_.fall_time < now) {
-            lately_work_ -= lately_.front().second;
-            lately_.pop_front();
+bool HostModel::submit(Micros now, std::uint64_t job, Micros work) {
+    if (has_failed_) return false;
+    if (settings_.overload_factor > 0 && capacity_share(now) < 1) {
+        recent_.emplace_back(now, work);
+        recent_work_ += work;
+        while (recent_.front().first + settings_.overload_window < now) {
+            recent_work_ -= recent_.front().second;
+            recent_.pop_front();
         }
-        const double budget = s_.fall_multiple * capacity(now) * seconds(s_.fall_time);
-        if (seconds(lately_work_) > budget + chance_slack * seconds(work)) {
-            fallen_ = true;
-            waiting_.clear(), running_.clear();
+        const double budget =
+            settings_.overload_factor * capacity(now) * seconds(settings_.overload_window);
+        if (seconds(recent_work_) > budget + tolerated_jobs * seconds(work)) {
+            has_failed_ = true;
+            queue_.clear(), running_.clear();
             return false;
         }
     }
-    if (running_.size() >= static_cast<std::size_t>(s_.cores) && waiting_.size() >= s_.room)
+    if (running_.size() >= static_cast<std::size_t>(settings_.cores) &&
+        queue_.size() >= settings_.queue_limit)
         return false;
-    waiting_.push_back({job, work});
-    start(now);
+    queue_.push_back({job, work});
+    start_jobs(now);
     return true;
 }
 
-void Tally::start(Micros now) {
-    while (!waiting_.empty() && running_.size() < static_cast<std::size_t>(s_.cores)) {
-        const Job job = waiting_.front();
-        waiting_.pop_front();
-        const double takes = seconds(job.work) / (s_.speed * share(now));
-        running_.push_back({job.id, now + Micros(static_cast<std::int64_t>(takes * 1e6))});
+void HostModel::start_jobs(Micros now) {
+    while (!queue_.empty() && running_.size() < static_cast<std::size_t>(settings_.cores)) {
+        const QueuedJob job = queue_.front();
+        queue_.pop_front();
+        const double duration_s = seconds(job.work) / (settings_.speed * capacity_share(now));
+        running_.push_back({job.id, now + Micros(static_cast<std::int64_t>(duration_s * 1e6))});
     }
 }
 
-std::optional<Micros> Tally::next() const {
+std::optional<Micros> HostModel::next_completion() const {
     if (running_.empty()) return std::nullopt;
-    return std::min_element(running_.begin(), running_.end(),
-                            [](const Running& a, const Running& b) { return a.until < b.until; })
+    return std::min_element(
+               running_.begin(), running_.end(),
+               [](const RunningJob& a, const RunningJob& b) { return a.until < b.until; })
         ->until;
 }
 
-std::vector<Tally::Done> Tally::advance(Micros now) {
-    std::vector<Done> done;
-    for (auto at = next(); at && *at <= now; at = next()) {
+std::vector<HostModel::Completion> HostModel::take_completed(Micros now) {
+    std::vector<Completion> completed;
+    for (auto at = next_completion(); at && *at <= now; at = next_completion()) {
         const auto it = std::find_if(running_.begin(), running_.end(),
-                                     [&](const Running& r) { return r.until == *at; });
-        done.push_back({it->id, it->until});
+                                     [&](const RunningJob& job) { return job.until == *at; });
+        completed.push_back({it->id, it->until});
         running_.erase(it);
-        start(*at);
+        start_jobs(*at);
     }
-    return done;
+    return completed;
 }
 
 }  // namespace silverreach::fakes
--- a/fakes/recorder.cpp
+++ b/fakes/recorder.cpp
@@ -11,7 +11,7 @@
     fields["t"] = at.count(), fields["who"] = who, fields["what"] = what;
     if (file_.is_open())
         file_ << fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) << "\n";
-    all_.push_back(std::move(fields));
+    records_.push_back(std::move(fields));
 }
 
 }  // namespace silverreach::fakes
--- a/fakes/recorder.h
+++ b/fakes/recorder.h
@@ -1,4 +1,4 @@
-// What passed on the stand-ins' sockets, as JSON lines: {"t": microseconds, "who": ..., "what":
+// Records what the fakes send and receive, as JSON lines: {"t": microseconds, "who": ..., "what":
 // ..., ...}.
 #pragma once
 
@@ -14,14 +14,15 @@
 
 class Recorder {
   public:
-    Recorder() = default;                        // in memory only
-    explicit Recorder(const std::string& file);  // and to the file, line by line
+    Recorder() = default;  // in memory only
+    // Also writes each record to the file. Throws std::runtime_error if it cannot be opened.
+    explicit Recorder(const std::string& file);
     void add(Micros at, const char* who, const char* what, nlohmann::json fields);
-    const std::vector<nlohmann::json>& all() const { return all_; }
+    const std::vector<nlohmann::json>& all() const { return records_; }
 
   private:
     std::ofstream file_;
-    std::vector<nlohmann::json> all_;
+    std::vector<nlohmann::json> records_;
 };
 
 }  // namespace silverreach::fakes
--- a/fakes/relay.cpp
+++ b/fakes/relay.cpp
@@ -8,38 +8,40 @@
 
 namespace silverreach::fakes {
 namespace {
-sockaddr_in address_of(const std::string& ip, int port) {
-    sockaddr_in a{};
-    a.sin_family = AF_INET, a.sin_port = htons(static_cast<std::uint16_t>(port));
-    inet_pton(AF_INET, ip.c_str(), &a.sin_addr);
-    return a;
+sockaddr_in socket_address(const std::string& ip, int port) {
+    sockaddr_in address{};
+    address.sin_family = AF_INET, address.sin_port = htons(static_cast<std::uint16_t>(port));
+    inet_pton(AF_INET, ip.c_str(), &address.sin_addr);
+    return address;
 }
 }  // namespace
 
-struct Relay::Leg {
+struct Relay::Link {
     event::Fd fd;
     int port = 0;
-    std::unique_ptr<event::IoWatcher> io;
+    std::unique_ptr<event::IoWatcher> watcher;
 };
 
-Relay::Relay(event::Loop& loop, std::vector<std::pair<std::string, int>> own, std::uint64_t seed)
-    : loop_(loop), own_(std::move(own)), random_(seed) {
-    const int n = static_cast<int>(own_.size());
-    legs_.resize(own_.size());
-    for (int from = 0; from < n; ++from)
-        for (int to = 0; to < n; ++to) {
-            auto leg = std::make_unique<Leg>();
-            leg->fd = event::Fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-            sockaddr_in at = address_of("127.0.0.1", 0);
-            socklen_t size = sizeof at;
-            if (!leg->fd || ::bind(leg->fd.get(), reinterpret_cast<sockaddr*>(&at), size) != 0)
-                throw std::runtime_error("relay: no socket");
-            getsockname(leg->fd.get(), reinterpret_cast<sockaddr*>(&at), &size);
-            leg->port = ntohs(at.sin_port);
-            leg->io = std::make_unique<event::IoWatcher>(
-                loop, leg->fd.get(), [this, from, to](int) { receive(from, to); });
-            leg->io->want(event::readable);
-            legs_[static_cast<std::size_t>(from)].push_back(std::move(leg));
+Relay::Relay(event::Loop& loop, std::vector<std::pair<std::string, int>> gateways,
+             std::uint64_t seed)
+    : loop_(loop), gateways_(std::move(gateways)), random_(seed) {
+    const int count = static_cast<int>(gateways_.size());
+    links_.resize(gateways_.size());
+    for (int from = 0; from < count; ++from)
+        for (int to = 0; to < count; ++to) {
+            auto link = std::make_unique<Link>();
+            link->fd = event::Fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+            sockaddr_in bound_address = socket_address("127.0.0.1", 0);
+            socklen_t size = sizeof bound_address;
+            if (!link->fd ||
+                ::bind(link->fd.get(), reinterpret_cast<sockaddr*>(&bound_address), size) != 0)
+                throw std::runtime_error("relay: cannot create a socket");
+            getsockname(link->fd.get(), reinterpret_cast<sockaddr*>(&bound_address), &size);
+            link->port = ntohs(bound_address.sin_port);
+            link->watcher = std::make_unique<event::IoWatcher>(
+                loop, link->fd.get(), [this, from, to](int) { receive(from, to); });
+            link->watcher->want(event::readable);
+            links_[static_cast<std::size_t>(from)].push_back(std::move(link));
         }
 }
 Relay::~Relay() {
@@ -49,47 +51,48 @@
 std::string Relay::address(int from, int to) const {
     return "127.0.0.1:" +
            std::to_string(
-               legs_[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)]->port);
+               links_[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)]->port);
 }
-void Relay::set(double loss, std::chrono::microseconds least, std::chrono::microseconds most) {
-    loss_ = loss, least_ = least, most_ = std::max(least, most);
+void Relay::set_network(double loss, std::chrono::microseconds min_delay,
+                        std::chrono::microseconds max_delay) {
+    loss_ = loss, min_delay_ = min_delay, max_delay_ = std::max(min_delay, max_delay);
 }
-void Relay::cut(int gateway, bool on) {
-    on ? void(cut_.insert(gateway)) : void(cut_.erase(gateway));
+void Relay::isolate(int gateway, bool on) {
+    on ? void(isolated_.insert(gateway)) : void(isolated_.erase(gateway));
 }
 
-void Relay::part(bool on) {
-    parted_ = on;
+void Relay::partition(bool on) {
+    is_partitioned_ = on;
 }
 
 void Relay::receive(int from, int to) {
     char buffer[2048];
     while (true) {
-        const ssize_t n =
-            ::recv(legs_[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)]->fd.get(),
+        const ssize_t size =
+            ::recv(links_[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)]->fd.get(),
                    buffer, sizeof buffer, 0);
-        if (n < 0) return;
+        if (size < 0) return;
         const double draw = static_cast<double>(random_() >> 11) * 0x1p-53;
-        bytes_ += static_cast<std::uint64_t>(n);
-        if (draw < loss_ || cut_.contains(from) || cut_.contains(to) ||
-            (parted_ && from % 2 != to % 2)) {
-            ++lost_;
+        bytes_ += static_cast<std::uint64_t>(size);
+        if (draw < loss_ || isolated_.contains(from) || isolated_.contains(to) ||
+            (is_partitioned_ && from % 2 != to % 2)) {
+            ++dropped_;
             continue;
         }
-        const auto span = static_cast<std::uint64_t>((most_ - least_).count()) + 1;
+        const auto delay_range = static_cast<std::uint64_t>((max_delay_ - min_delay_).count()) + 1;
         const std::chrono::microseconds delay =
-            least_ + std::chrono::microseconds(random_() % span);
-        ++carried_;
+            min_delay_ + std::chrono::microseconds(random_() % delay_range);
+        ++forwarded_;
         loop_.after(delay, [this, from, to,
-                            bytes = std::string(buffer, static_cast<std::size_t>(n)),
+                            bytes = std::string(buffer, static_cast<std::size_t>(size)),
                             alive = std::weak_ptr<bool>(alive_)] {
             if (alive.expired()) return;
-            // From the socket at which `to` knows `from`.
-            const auto& [ip, port] = own_[static_cast<std::size_t>(to)];
-            const sockaddr_in at = address_of(ip, port);
-            ::sendto(legs_[static_cast<std::size_t>(to)][static_cast<std::size_t>(from)]->fd.get(),
+            // Sent from the socket whose address `to` uses for `from`.
+            const auto& [ip, port] = gateways_[static_cast<std::size_t>(to)];
+            const sockaddr_in destination = socket_address(ip, port);
+            ::sendto(links_[static_cast<std::size_t>(to)][static_cast<std::size_t>(from)]->fd.get(),
                      bytes.data(), bytes.size(), MSG_NOSIGNAL,
-                     reinterpret_cast<const sockaddr*>(&at), sizeof at);
+                     reinterpret_cast<const sockaddr*>(&destination), sizeof destination);
         });
     }
 }
--- a/fakes/relay.h
+++ b/fakes/relay.h
@@ -1,5 +1,5 @@
-// Carries datagrams between gateways, and loses, delays and cuts as told. Each ordered pair has a
-// socket of its own, so that every gateway sees each peer at one stable address.
+// Forwards datagrams between gateways and can drop, delay or block them. Each ordered pair of
+// gateways has a socket of its own, so that a gateway sees each peer at a constant address.
 #pragma once
 
 #include <memory>
@@ -16,31 +16,32 @@
 
 class Relay {
   public:
-    // `own`: the gateways' own addresses, "ip:port", by rank.
-    Relay(event::Loop& loop, std::vector<std::pair<std::string, int>> own, std::uint64_t seed);
+    // `gateways`: IPv4 address and port on which each gateway receives peer messages, by rank.
+    Relay(event::Loop& loop, std::vector<std::pair<std::string, int>> gateways, std::uint64_t seed);
     ~Relay();
-    // Where gateway `from` finds its peer `to`.
+    // Returns the address that gateway `from` uses for its peer `to`.
     std::string address(int from, int to) const;
-    void set(double loss, std::chrono::microseconds least_delay,
-             std::chrono::microseconds most_delay);
-    void cut(int gateway, bool on);                 // nothing passes from or to it
-    void part(bool on);                             // nothing passes between even and odd gateways
-    std::uint64_t bytes() const { return bytes_; }  // of all that was handed in
-    std::uint64_t carried() const { return carried_; }
-    std::uint64_t lost() const { return lost_; }
+    // `loss`: share of dropped datagrams. Delays are uniform between the two limits.
+    void set_network(double loss, std::chrono::microseconds min_delay,
+                     std::chrono::microseconds max_delay);
+    void isolate(int gateway, bool on);             // drops all datagrams from and to it
+    void partition(bool on);                        // drops datagrams between even and odd ranks
+    std::uint64_t bytes() const { return bytes_; }  // received, including dropped datagrams
+    std::uint64_t forwarded() const { return forwarded_; }
+    std::uint64_t dropped() const { return dropped_; }
 
   private:
-    struct Leg;
+    struct Link;
     void receive(int from, int to);
     event::Loop& loop_;
-    std::vector<std::pair<std::string, int>> own_;
+    std::vector<std::pair<std::string, int>> gateways_;
     std::mt19937_64 random_;
-    std::vector<std::vector<std::unique_ptr<Leg>>> legs_;  // [from][to]
+    std::vector<std::vector<std::unique_ptr<Link>>> links_;  // [from][to]
     double loss_ = 0;
-    std::chrono::microseconds least_{0}, most_{0};
-    std::set<int> cut_;
-    bool parted_ = false;
-    std::uint64_t carried_ = 0, lost_ = 0, bytes_ = 0;
+    std::chrono::microseconds min_delay_{0}, max_delay_{0};
+    std::set<int> isolated_;
+    bool is_partitioned_ = false;
+    std::uint64_t forwarded_ = 0, dropped_ = 0, bytes_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/fakes/server.cpp
+++ b/fakes/server.cpp
@@ -3,33 +3,33 @@
 namespace silverreach::fakes {
 
 struct Server::Connection : event::StreamOwner, http::Parser::Events {
-    Connection(Server& s, Token t, event::Fd fd)
-        : server(s),
-          token(t),
-          stream(s.loop_, std::move(fd), *this),
+    Connection(Server& parent, Token own_token, event::Fd fd)
+        : server(parent),
+          token(own_token),
+          stream(parent.loop_, std::move(fd), *this),
           parser(http::Parser::Kind::request, *this) {}
     void on_data(std::string_view bytes) override {
         pending.append(bytes);
-        next();
+        read_request();
     }
-    void next() {
-        if (busy || pending.empty() || stream.closed()) return;
-        const std::string now = std::exchange(pending, {});
-        pending = now.substr(parser.feed(now));
-        if (!parser.done() || busy) return;
-        busy = true;
+    void read_request() {
+        if (is_request_pending || pending.empty() || stream.closed()) return;
+        const std::string bytes = std::exchange(pending, {});
+        pending = bytes.substr(parser.feed(bytes));
+        if (!parser.done() || is_request_pending) return;
+        is_request_pending = true;
         server.handler_(token, head, body);
     }
-    void on_end() override { over(); }
-    void on_broken(int) override { over(); }
-    bool on_head(http::Head& h) override {
-        head = std::move(h), body.clear();
+    void on_end() override { close(); }
+    void on_broken(int) override { close(); }
+    bool on_head(http::Head& received) override {
+        head = std::move(received), body.clear();
         return true;
     }
     void on_body(std::string_view bytes) override { body.append(bytes); }
     void on_message_end(http::Fields&) override {}
-    void on_fault(const http::Fault&) override { over(); }
-    void over() {
+    void on_fault(const http::Fault&) override { close(); }
+    void close() {
         stream.close();
         server.delete_later(token);
     }
@@ -40,7 +40,7 @@
     http::Parser parser;
     http::Head head;
     std::string body, pending;
-    bool busy = false;
+    bool is_request_pending = false;
 };
 
 Server::Server(event::Loop& loop, const std::string& ip, int port, Handler handler)
@@ -48,7 +48,7 @@
     listener_ = std::make_unique<event::Listener>(
         loop, ip, port, ip.find(':') != std::string::npos, [] { return true; },
         [this](event::Fd fd, const std::string&) {
-            const Token token = next_++;
+            const Token token = next_token_++;
             connections_.emplace(token, std::make_unique<Connection>(*this, token, std::move(fd)));
         });
 }
@@ -56,27 +56,27 @@
     alive_.reset();
 }
 
-bool Server::answer(Token token, const std::string& bytes, bool close) {
+bool Server::respond(Token token, const std::string& bytes, bool close) {
     const auto it = connections_.find(token);
     if (it == connections_.end()) return false;
-    Connection& c = *it->second;
-    c.stream.write(bytes);
-    c.busy = false;
+    Connection& connection = *it->second;
+    connection.stream.write(bytes);
+    connection.is_request_pending = false;
     if (close) {
-        c.stream.end();
+        connection.stream.end();
         return true;
     }
-    c.parser.next();
+    connection.parser.next();
     loop_.after(std::chrono::microseconds(0), [this, token, alive = std::weak_ptr<bool>(alive_)] {
         if (alive.expired()) return;
-        if (const auto again = connections_.find(token); again != connections_.end())
-            again->second->next();
+        if (const auto found = connections_.find(token); found != connections_.end())
+            found->second->read_request();
     });
     return true;
 }
 void Server::reset_all() {
-    for (auto& [token, c] : connections_)
-        c->stream.reset();
+    for (auto& [token, connection] : connections_)
+        connection->stream.reset();
     while (!connections_.empty())
         delete_later(connections_.begin()->first);
 }
--- a/scenario_runner/fleet/arrivals.cpp
+++ b/scenario_runner/fleet/arrivals.cpp
@@ -6,40 +6,47 @@
 
 namespace silverreach::scenario {
 
-Arrivals::Arrivals(const FleetDay& day)
-    : day_(day), random_(day.seed * 7919 + 17), rate_(day.offered * day.accounts) {}
+Arrivals::Arrivals(const FleetScenario& scenario)
+    : scenario_(scenario),
+      random_(scenario.seed * 7919 + 17),
+      rate_(scenario.offered_rate * scenario.accounts) {}
 
-int Arrivals::instance() {
-    const int n = day_.instances;
+int Arrivals::draw_instance() {
+    const int count = scenario_.instances;
     std::uniform_real_distribution<double> uniform(0, 1);
-    const double u = uniform(random_);
-    if (day_.shape == Shape::even) return std::min(n - 1, static_cast<int>(u * n));
-    if (day_.shape == Shape::halving) {
-        double part = 0.5, sum = part;
+    const double draw = uniform(random_);
+    if (scenario_.shape == LoadShape::even)
+        return std::min(count - 1, static_cast<int>(draw * count));
+    if (scenario_.shape == LoadShape::halving) {
+        double share = 0.5, sum = share;
         int i = 0;
-        while (u >= sum && i < n - 1)
-            part /= 2, sum += part, ++i;
+        while (draw >= sum && i < count - 1)
+            share /= 2, sum += share, ++i;
         return i;
     }
-    const int third = std::max(1, n / 3), turn = static_cast<int>(at_ / day_.move_every);
-    return (turn * third + std::min(third - 1, static_cast<int>(u * third))) % n;
+    const int third_size = std::max(1, count / 3),
+              interval_index = static_cast<int>(at_ / scenario_.move_interval);
+    return (interval_index * third_size +
+            std::min(third_size - 1, static_cast<int>(draw * third_size))) %
+           count;
 }
 
 Arrival Arrivals::next() {
-    std::exponential_distribution<double> gap(rate_);
-    at_ += Micros(static_cast<std::int64_t>(gap(random_) * 1e6) + 1);
+    std::exponential_distribution<double> interarrival(rate_);
+    at_ += Micros(static_cast<std::int64_t>(interarrival(random_) * 1e6) + 1);
     std::uniform_real_distribution<double> uniform(0, 1);
     int account = 0;
-    if (day_.accounts > 1 && uniform(random_) >= day_.first_share)
-        account = static_cast<int>(random_() % static_cast<std::uint64_t>(day_.accounts));
-    return {at_, account, instance()};
+    if (scenario_.accounts > 1 && uniform(random_) >= scenario_.first_account_share)
+        account = static_cast<int>(random_() % static_cast<std::uint64_t>(scenario_.accounts));
+    return {at_, account, draw_instance()};
 }
 
 std::string account_name(int account) {
     return "account-" + std::to_string(account);
 }
-int home_of_first(const FleetDay& day) {
-    return static_cast<int>(hash_name(account_name(0)) % static_cast<std::uint32_t>(day.instances));
+int first_account_owner(const FleetScenario& scenario) {
+    return static_cast<int>(hash_name(account_name(0)) %
+                            static_cast<std::uint32_t>(scenario.instances));
 }
 
 }  // namespace silverreach::scenario
--- a/scenario_runner/fleet/arrivals.h
+++ b/scenario_runner/fleet/arrivals.h
@@ -1,5 +1,5 @@
-// When each request of a fleet's day comes, of which account, and at which instance: the same draw
-// for sockets and virtual time. No I/O.
+// Random request arrivals of a fleet scenario: time, account and instance of each. Sockets and
+// virtual time use the same sequence. No I/O.
 #pragma once
 
 #include <random>
@@ -16,18 +16,18 @@
 };
 class Arrivals {
   public:
-    explicit Arrivals(const FleetDay& day);
-    Arrival next();  // in order of time, without end
+    explicit Arrivals(const FleetScenario& scenario);
+    Arrival next();  // ordered by time; the sequence does not end
 
   private:
-    int instance();
-    const FleetDay& day_;
+    int draw_instance();
+    const FleetScenario& scenario_;
     std::mt19937_64 random_;
     Micros at_{0};
     double rate_;
 };
 std::string account_name(int account);
-// Where the module keeps the first account's ledger.
-int home_of_first(const FleetDay& day);
+// Returns the rank of the instance that owns the first account's quota.
+int first_account_owner(const FleetScenario& scenario);
 
 }  // namespace silverreach::scenario
--- a/scenario_runner/fleet/fleet_metrics.h
+++ b/scenario_runner/fleet/fleet_metrics.h
@@ -1,4 +1,4 @@
-// What a fleet's day gave, from the records of clients and hosts alone. No I/O.
+// Metrics of a fleet run, from the records of clients and hosts alone. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,47 +9,53 @@
 
 namespace silverreach::scenario {
 
-enum class Ending {
-    open,
+enum class RequestOutcome {
+    unfinished,
     served,
     quota,
     ceiling,
-    refused,
+    rejected,
     failed
 };
-struct FleetTry {  // one request as its client and its host saw it; times since the day began
-    Micros sent{0}, at_host{-1}, ended{0};
+// One request as its client and its host observed it; times since the run began.
+struct FleetRequest {
+    Micros sent_at{0}, received_at{-1}, ended_at{0};  // received_at: first at a host; -1: at none
     int account = 0, instance = 0;
-    Ending ending = Ending::open;
+    RequestOutcome outcome = RequestOutcome::unfinished;
 };
 struct FleetTraffic {
     std::uint64_t messages = 0, bytes = 0;
     double cpu_s = 0;  // of all instances; 0: not measured
 };
 
-struct FleetRow {
-    std::uint64_t tries = 0, served = 0, quota = 0, ceiling = 0, refused = 0, failed = 0, open = 0;
-    double served_s = 0;  // a second, after the first 3
-    double worst_served =
-        1;  // served of what quota and demand allow, worst 5 s after the first 3, any account
-    double over = 0;          // most units above the quota's bucket, worst account; 0: none
-    double ceiling_over = 0;  // the same of the ceiling
-    double p50_ms = 0, p90_ms = 0, p99_ms = 0;  // of served requests at the client
-    double wait50_ms = 0,
-           wait99_ms = 0;     // for leave: from the client's sending to the host's taking
-    double host99_ms = 0;     // from there to the client's answer
-    double refusal99_ms = 0;  // 0 where fewer than 50 were refused
-    double messages_s = 0, bytes_s = 0, messages_a_request = 0, cpu_us_a_request = 0;
+struct FleetMetrics {
+    std::uint64_t requests = 0, served = 0, quota = 0, ceiling = 0, rejected = 0, failed = 0,
+                  unfinished = 0;
+    double served_per_second = 0;  // after the first 3 s
+    // Served share of what quota and demand allow, in the worst 5 s after the first 3 s of any
+    // account.
+    double worst_served_share = 1;
+    double quota_excess = 0;    // most units beyond the quota's token bucket, of any account
+    double ceiling_excess = 0;  // most units beyond the ceiling's token bucket, of any account
+    double p50_ms = 0, p90_ms = 0, p99_ms = 0;  // latency of served requests at the client
+    double wait_p50_ms = 0,
+           wait_p99_ms = 0;       // admission wait: from the client's send to the host's receipt
+    double host_p99_ms = 0;       // from the host's receipt to the client's response
+    double rejection_p99_ms = 0;  // 0: fewer than 50 requests were rejected
+    double messages_per_second = 0, bytes_per_second = 0, messages_per_request = 0,
+           cpu_us_per_request = 0;
 };
 
-// Units sent to hosts above a bucket of `rate` and `burst`; `tries` of one account, in any order.
-double over_bucket(const std::vector<FleetTry>& tries, double rate, double burst);
-FleetRow measure(const FleetDay& day, const std::vector<FleetTry>& tries,
-                 const FleetTraffic& traffic);
-// What the day's own bounds say is broken; empty: kept.
-std::vector<std::string> held_against(const FleetDay& day, const FleetRow& row);
-
-std::string fleet_heading();
-std::string text_of(const FleetDay& day, const FleetRow& row);
+// Returns the most units by which requests received by hosts exceed a token bucket of `rate` and
+// `burst`. `requests`: of one account, in any order.
+double max_bucket_excess(const std::vector<FleetRequest>& requests, double rate, double burst);
+FleetMetrics measure(const FleetScenario& scenario, const std::vector<FleetRequest>& requests,
+                     const FleetTraffic& traffic);
+// Returns the violations of the scenario's bounds.
+std::vector<std::string> find_broken_bounds(const FleetScenario& scenario,
+                                            const FleetMetrics& metrics);
+
+std::string format_heading();
+std::string format_row(const FleetScenario& scenario, const FleetMetrics& metrics);
 
 }  // namespace silverreach::scenario
--- a/scenario_runner/fleet/fleet_scenario.cpp
+++ b/scenario_runner/fleet/fleet_scenario.cpp
@@ -10,127 +10,134 @@
 using openapi::Value;
 using namespace std::chrono_literals;
 
-void read_trouble(const Value& item, const std::string& field, const std::string& file,
-                  std::vector<openapi::Problem>& problems, FleetDay& day) {
-    static const std::map<std::string, Trouble> kinds = {{"kill", Trouble::kill},
-                                                         {"stall", Trouble::stall},
-                                                         {"partition", Trouble::partition},
-                                                         {"lose", Trouble::lose},
-                                                         {"restart-all", Trouble::restart_all}};
-    Reader r(item, field, file, problems);
-    FleetTrouble t;
-    std::string kind, who;
+void read_fault(const Value& item, const std::string& field, const std::string& file,
+                std::vector<openapi::Problem>& problems, FleetScenario& scenario) {
+    static const std::map<std::string, FaultKind> kinds = {{"kill", FaultKind::kill},
+                                                           {"stall", FaultKind::stall},
+                                                           {"partition", FaultKind::partition},
+                                                           {"lose", FaultKind::lose},
+                                                           {"restart-all", FaultKind::restart_all}};
+    MappingReader reader(item, field, file, problems);
+    FleetFault fault;
+    std::string kind, instance;
     for (const char* name : {"do", "at", "for"})
-        r.need(name);
-    r.read("do", kind);
-    r.read_seconds("at", t.at);
-    r.read_seconds("for", t.span);
-    r.read("loss", t.loss);
-    r.read("instance", who);
-    if (!who.empty() && who != "home") {
+        reader.require(name);
+    reader.read("do", kind);
+    reader.read_seconds("at", fault.at);
+    reader.read_seconds("for", fault.duration);
+    reader.read("loss", fault.loss);
+    reader.read("instance", instance);
+    if (!instance.empty() && instance != "home") {
         double rank = -1;
-        const Value* v = r.find("instance");
-        if (!v->as(rank) || rank < 0 || rank != static_cast<int>(rank))
-            r.problem(*v, "instance", "home, or a rank");
-        t.instance = static_cast<int>(rank);
+        const Value* value = reader.find("instance");
+        if (!value->as(rank) || rank < 0 || rank != static_cast<int>(rank))
+            reader.add_problem(*value, "instance", "home or a rank");
+        fault.instance = static_cast<int>(rank);
     }
     if (const auto it = kinds.find(kind); it != kinds.end())
-        t.kind = it->second;
+        fault.kind = it->second;
     else
-        r.problem(item, "do", "kill, stall, partition, lose or restart-all");
-    if (t.loss > 1) r.problem(item, "loss", "a share, 0 to 1");
-    day.troubles.push_back(t);
+        reader.add_problem(item, "do", "kill, stall, partition, lose or restart-all");
+    if (fault.loss > 1) reader.add_problem(item, "loss", "a share from 0 to 1");
+    scenario.faults.push_back(fault);
 }
 
-void read_day(const Value& value, const std::string& field, const std::string& file,
-              std::vector<openapi::Problem>& problems, FleetDay& day, bool root) {
-    static const std::map<std::string, Shape> shapes = {
-        {"even", Shape::even}, {"halving", Shape::halving}, {"moving", Shape::moving}};
-    Reader r(value, field, file, problems);
-    r.read(root ? "fleet" : "name", day.name);
-    if (root) r.find("days");
-    r.read_whole("seed", day.seed);
-    r.read_whole("instances", day.instances, 1);
-    r.read_whole("hosts", day.hosts, 1);
-    r.read_whole("accounts", day.accounts, 1);
-    r.read_ms("host_ms", day.host_time);
-    r.read("quota", day.quota);
-    r.read("burst", day.burst);
-    r.read("ceiling", day.ceiling);
-    r.read("ceiling_burst", day.ceiling_burst);
-    r.read("offered", day.offered, 0.001);
-    r.read("first_share", day.first_share);
-    r.read_seconds("move_every", day.move_every);
-    r.read_seconds("seconds", day.length);
-    r.read_ms("deadline_ms", day.deadline);
-    r.read_ms("aim_ms", day.aim);
-    r.read("messages_per_s", day.messages_per_s);
-    r.read("loss", day.loss);
-    r.read_ms("least_delay_ms", day.least_delay);
-    r.read_ms("most_delay_ms", day.most_delay);
-    r.read("least_served", day.least_served);
-    r.read("most_over", day.most_over);
-    r.read("most_wait_ms", day.most_wait_ms);
-    r.read("most_refusal_ms", day.most_refusal_ms);
-    std::string shape(to_string(day.shape));
-    r.read("shape", shape);
+void read_scenario(const Value& value, const std::string& field, const std::string& file,
+                   std::vector<openapi::Problem>& problems, FleetScenario& scenario, bool is_root) {
+    static const std::map<std::string, LoadShape> shapes = {
+        {"even", LoadShape::even}, {"halving", LoadShape::halving}, {"moving", LoadShape::moving}};
+    MappingReader reader(value, field, file, problems);
+    reader.read(is_root ? "fleet" : "name", scenario.name);
+    if (is_root) reader.find("days");
+    reader.read_integer("seed", scenario.seed);
+    reader.read_integer("instances", scenario.instances, 1);
+    reader.read_integer("hosts", scenario.hosts, 1);
+    reader.read_integer("accounts", scenario.accounts, 1);
+    reader.read_milliseconds("host_ms", scenario.service_time);
+    reader.read("quota", scenario.quota);
+    reader.read("burst", scenario.burst);
+    reader.read("ceiling", scenario.ceiling);
+    reader.read("ceiling_burst", scenario.ceiling_burst);
+    reader.read("offered", scenario.offered_rate, 0.001);
+    reader.read("first_share", scenario.first_account_share);
+    reader.read_seconds("move_every", scenario.move_interval);
+    reader.read_seconds("seconds", scenario.duration);
+    reader.read_milliseconds("deadline_ms", scenario.deadline);
+    reader.read_milliseconds("aim_ms", scenario.latency_objective);
+    reader.read("messages_per_s", scenario.peer_messages_per_second);
+    reader.read("loss", scenario.loss);
+    reader.read_milliseconds("least_delay_ms", scenario.min_delay);
+    reader.read_milliseconds("most_delay_ms", scenario.max_delay);
+    reader.read("least_served", scenario.min_served_share);
+    reader.read("most_over", scenario.max_quota_excess);
+    reader.read("most_wait_ms", scenario.max_wait_p99_ms);
+    reader.read("most_refusal_ms", scenario.max_rejection_p99_ms);
+    std::string shape(to_string(scenario.shape));
+    reader.read("shape", shape);
     if (const auto it = shapes.find(shape); it != shapes.end())
-        day.shape = it->second;
+        scenario.shape = it->second;
     else
-        r.problem(value, "shape", "even, halving or moving");
-    if (day.instances > 500) r.problem(value, "instances", "500 at most");
-    if (day.loss > 1 || day.first_share > 1) r.problem(value, "loss", "shares of 0 to 1");
-    if (day.most_delay < day.least_delay)
-        r.problem(value, "most_delay_ms", "no less than least_delay_ms");
-    if (day.length <= 0us || day.deadline <= 0us || day.aim <= 0us || day.move_every <= 0us)
-        r.problem(value, "", "seconds, deadline_ms, aim_ms and move_every above 0");
-    if (value.find("troubles")) day.troubles.clear();
-    int n = 0;
-    for (const Value& item : r.list("troubles"))
-        read_trouble(item, field + ".troubles[" + std::to_string(n++) + "]", file, problems, day);
-    // Here, as a day may have its troubles from the whole and its instances of its own.
-    for (const FleetTrouble& t : day.troubles) {
-        if (t.instance >= day.instances)
-            r.problem(value, "troubles", "instances below the day's number of them");
-        if (day.instances < 2 && (t.kind == Trouble::partition || t.kind == Trouble::lose))
-            r.problem(value, "troubles", "two instances at least for partition and lose");
+        reader.add_problem(value, "shape", "even, halving or moving");
+    if (scenario.instances > 500) reader.add_problem(value, "instances", "at most 500");
+    if (scenario.loss > 1 || scenario.first_account_share > 1)
+        reader.add_problem(value, "loss", "shares from 0 to 1");
+    if (scenario.max_delay < scenario.min_delay)
+        reader.add_problem(value, "most_delay_ms", "at least least_delay_ms");
+    if (scenario.duration <= 0us || scenario.deadline <= 0us || scenario.latency_objective <= 0us ||
+        scenario.move_interval <= 0us)
+        reader.add_problem(value, "", "seconds, deadline_ms, aim_ms and move_every above 0");
+    if (value.find("troubles")) scenario.faults.clear();
+    int number = 0;
+    for (const Value& item : reader.list("troubles"))
+        read_fault(item, field + ".troubles[" + std::to_string(number++) + "]", file, problems,
+                   scenario);
+    // Checked for each scenario, as it may inherit the faults and set its own number of instances.
+    for (const FleetFault& fault : scenario.faults) {
+        if (fault.instance >= scenario.instances)
+            reader.add_problem(value, "troubles", "ranks below the number of instances");
+        if (scenario.instances < 2 &&
+            (fault.kind == FaultKind::partition || fault.kind == FaultKind::lose))
+            reader.add_problem(value, "troubles", "at least two instances for partition and lose");
     }
-    if (day.ceiling > 0 && day.ceiling_burst <= 0) day.ceiling_burst = day.ceiling;
+    if (scenario.ceiling > 0 && scenario.ceiling_burst <= 0)
+        scenario.ceiling_burst = scenario.ceiling;
 }
 }  // namespace
 
-std::string_view to_string(Shape shape) {
-    return shape == Shape::even ? "even" : shape == Shape::halving ? "halving" : "moving";
+std::string_view to_string(LoadShape shape) {
+    return shape == LoadShape::even ? "even" : shape == LoadShape::halving ? "halving" : "moving";
 }
-double burst_of(const FleetDay& day) {
-    return day.burst > 0 ? day.burst : day.quota;
+double effective_burst(const FleetScenario& scenario) {
+    return scenario.burst > 0 ? scenario.burst : scenario.quota;
 }
 
-bool is_fleet(std::string_view text, const std::string& file) {
+bool is_fleet_scenario(std::string_view text, const std::string& file) {
     std::vector<openapi::Problem> ignored;
     Value root;
     return openapi::parse(text, file, root, ignored) && root.find("fleet");
 }
 
-bool parse_fleet(std::string_view text, const std::string& file, std::vector<FleetDay>& into,
-                 std::vector<openapi::Problem>& problems) {
-    const std::size_t before = problems.size();
+bool parse_fleet_scenarios(std::string_view text, const std::string& file,
+                           std::vector<FleetScenario>& into,
+                           std::vector<openapi::Problem>& problems) {
+    const std::size_t problems_before = problems.size();
     Value root;
     if (!openapi::parse(text, file, root, problems)) return false;
-    FleetDay base;
-    read_day(root, "fleet", file, problems, base, true);
-    const Value* days = root.find("days");
-    if (!days)
-        into.push_back(base);
-    else if (!days->is(Value::Kind::sequence) || days->items.empty())
-        problems.push_back({file, days->line, "fleet.days", "a list of days"});
+    FleetScenario defaults;
+    read_scenario(root, "fleet", file, problems, defaults, true);
+    const Value* scenarios = root.find("days");
+    if (!scenarios)
+        into.push_back(defaults);
+    else if (!scenarios->is(Value::Kind::sequence) || scenarios->items.empty())
+        problems.push_back({file, scenarios->line, "fleet.days", "a list of days"});
     else
-        for (std::size_t i = 0; i < days->items.size(); ++i) {
-            FleetDay day = base;
-            read_day(days->items[i], "days[" + std::to_string(i) + "]", file, problems, day, false);
-            into.push_back(day);
+        for (std::size_t i = 0; i < scenarios->items.size(); ++i) {
+            FleetScenario scenario = defaults;
+            read_scenario(scenarios->items[i], "days[" + std::to_string(i) + "]", file, problems,
+                          scenario, false);
+            into.push_back(scenario);
         }
-    return problems.size() == before;
+    return problems.size() == problems_before;
 }
 
 }  // namespace silverreach::scenario
--- a/scenario_runner/fleet/socket_fleet.cpp
+++ b/scenario_runner/fleet/socket_fleet.cpp
@@ -19,8 +19,8 @@
 namespace silverreach::scenario {
 namespace {
 using namespace std::chrono_literals;
-constexpr Micros look_period = 5ms, start_due = 30s, settle = 500ms;
-constexpr std::string_view description =
+constexpr Micros poll_interval = 5ms, start_timeout = 30s, settle_time = 500ms;
+constexpr std::string_view api_description =
     "openapi: 3.0.3\n"
     "info: {title: fleet, version: '1'}\n"
     "components: {securitySchemes: {key: {type: apiKey, in: header, name: X-Api-Key}}}\n"
@@ -29,50 +29,52 @@
     "x-silverreach-units: 1\n"
     "paths: {/tally: {get: {responses: {'200': {description: counted}}}}}\n";
 
-class SocketDay {
+class SocketFleet {
   public:
-    SocketDay(const FleetDay& day, const std::string& program, std::string work)
-        : day_(day), work_(std::move(work)), arrivals_(day) {
-        if (day.instances > 100)
-            throw std::runtime_error(day.name + ": sockets carry 100 instances; use --virtual");
-        fakes::HostSettings host;
-        host.tally.cores = 64, host.tally.room = 4096;
-        host.mean_work = day.host_time;
-        auto group = std::make_shared<fakes::Group>();
-        for (int i = 0; i < day.hosts; ++i)
+    SocketFleet(const FleetScenario& scenario, const std::string& program, std::string work)
+        : scenario_(scenario), work_(std::move(work)), arrivals_(scenario) {
+        if (scenario.instances > 100)
+            throw std::runtime_error(scenario.name +
+                                     ": at most 100 instances on sockets; use --virtual");
+        fakes::HostSettings host_settings;
+        host_settings.model.cores = 64, host_settings.model.queue_limit = 4096;
+        host_settings.mean_work = scenario.service_time;
+        auto deduplication_group = std::make_shared<fakes::DeduplicationGroup>();
+        for (int i = 0; i < scenario.hosts; ++i)
             hosts_.push_back(std::make_unique<fakes::Host>(
-                loop_, host, day.seed + static_cast<std::uint64_t>(i), records_, group,
-                [](const std::string&) { return ""; }));
+                loop_, host_settings, scenario.seed + static_cast<std::uint64_t>(i), records_,
+                deduplication_group, [](const std::string&) { return ""; }));
         make_gateways(program);
-        clients_ =
-            std::make_unique<fakes::Clients>(loop_, day.seed, records_, [this] { return ports_; });
-        for (int i = 0; i < day.accounts; ++i) {
+        clients_ = std::make_unique<fakes::Clients>(loop_, scenario.seed, records_,
+                                                    [this] { return ports_; });
+        for (int i = 0; i < scenario.accounts; ++i) {
             fakes::Flow flow;
             flow.account = account_name(i), flow.key = "key-" + std::to_string(i),
             flow.target = "/tally";
-            flow.deadline = day.deadline;
+            flow.deadline = scenario.deadline;
             flows_.push_back(std::move(flow));
         }
     }
 
     FleetResult run() {
-        for (auto& g : gateways_)
-            g->start();
-        look_for_ports();
-        wait_until(loop_.now() + start_due, [this] { return listening(); });
-        if (!listening())
-            result_.troubles.push_back("a gateway did not start; see its log in " + work_);
-        wait_until(loop_.now() + settle, [] { return false; });
-        begin_ = loop_.now();
-        for (const FleetTrouble& t : day_.troubles)
-            plan(t);
-        if (result_.troubles.empty()) arrive();
-        wait_until(begin_ + day_.length, [this] { return !result_.troubles.empty(); });
-        wait_until(loop_.now() + day_.deadline + 1s, [this] { return clients_->waiting() == 0; });
-        for (auto& g : gateways_)
-            g->stop(SIGTERM), result_.traffic.cpu_s += g->cpu_s();
+        for (auto& gateway : gateways_)
+            gateway->start();
+        poll_ports();
+        wait_until(loop_.now() + start_timeout, [this] { return all_listening(); });
+        if (!all_listening())
+            result_.errors.push_back("a gateway did not start; see its log in " + work_);
+        wait_until(loop_.now() + settle_time, [] { return false; });
+        began_at_ = loop_.now();
+        for (const FleetFault& fault : scenario_.faults)
+            schedule_fault(fault);
+        if (result_.errors.empty()) schedule_arrival();
+        wait_until(began_at_ + scenario_.duration, [this] { return !result_.errors.empty(); });
+        wait_until(loop_.now() + scenario_.deadline + 1s,
+                   [this] { return clients_->in_flight() == 0; });
+        for (auto& gateway : gateways_)
+            gateway->stop(SIGTERM), result_.traffic.cpu_s += gateway->cpu_s();
         if (relay_)
-            result_.traffic.messages = relay_->carried() + relay_->lost(),
+            result_.traffic.messages = relay_->forwarded() + relay_->dropped(),
             result_.traffic.bytes = relay_->bytes();
         read_records();
         return std::move(result_);
@@ -80,196 +82,207 @@
 
   private:
     void make_gateways(const std::string& program) {
-        write_text(work_ + "/api", std::string(description));
+        write_text(work_ + "/api", std::string(api_description));
         std::string hosts;
         for (const auto& host : hosts_) {
-            const std::string& at = host->address();
-            const std::size_t colon = at.rfind(':');
+            const std::string& address = host->address();
+            const std::size_t colon = address.rfind(':');
             hosts += fmt::format(
                 "{}{{\"endpoint\":{{\"address\":{{\"socketAddress\":{{\"address\":\"{}\","
                 "\"portValue\":{}}}}}"
                 "}}}}",
-                hosts.empty() ? "" : ",", at.substr(0, colon), at.substr(colon + 1));
+                hosts.empty() ? "" : ",", address.substr(0, colon), address.substr(colon + 1));
         }
         write_text(work_ + "/hosts",
                    R"({"clusterName":"hosts","endpoints":[{"lbEndpoints":[)" + hosts + "]}]}");
-        const auto own = peer_addresses(day_.instances);
-        if (day_.instances > 1) {
-            relay_ = std::make_unique<fakes::Relay>(loop_, own, day_.seed);
-            calm();
+        const auto peer_endpoints = peer_addresses(scenario_.instances);
+        if (scenario_.instances > 1) {
+            relay_ = std::make_unique<fakes::Relay>(loop_, peer_endpoints, scenario_.seed);
+            reset_network();
         }
-        for (int i = 0; i < day_.instances; ++i) {
+        for (int i = 0; i < scenario_.instances; ++i) {
             const std::string path = fmt::format("{}/gateway-{}.textproto", work_, i);
             std::string text;
-            google::protobuf::TextFormat::PrintToString(config_of(i, own), &text);
+            google::protobuf::TextFormat::PrintToString(make_config(i, peer_endpoints), &text);
             write_text(path, text);
             gateways_.push_back(std::make_unique<GatewayProcess>(
                 program, path, fmt::format("{}/gateway-{}.log", work_, i)));
             ports_.push_back(0);
-            away_.push_back(false);
+            is_down_.push_back(false);
         }
     }
-    config::Config config_of(int rank, const std::vector<std::pair<std::string, int>>& own) const {
-        config::Config c;
-        c.set_fleet("fleet-drill");
-        c.mutable_listen()->set_address("127.0.0.1:0");
-        c.mutable_api()->set_description(work_ + "/api");
-        c.mutable_hosts()->set_file(work_ + "/hosts");
-        c.mutable_log()->set_level(config::Log::ERROR);
-        auto* read = c.add_class_();
+    config::Config make_config(
+        int rank, const std::vector<std::pair<std::string, int>>& peer_endpoints) const {
+        config::Config config;
+        config.set_fleet("fleet-drill");
+        config.mutable_listen()->set_address("127.0.0.1:0");
+        config.mutable_api()->set_description(work_ + "/api");
+        config.mutable_hosts()->set_file(work_ + "/hosts");
+        config.mutable_log()->set_level(config::Log::ERROR);
+        auto* read = config.add_class_();
         read->set_name("read");
-        read->set_aim_ms(day_.aim.count() / 1000);
-        read->set_deadline_ms(day_.deadline.count() / 1000);
-        auto* plan = c.add_plan();
+        read->set_aim_ms(scenario_.latency_objective.count() / 1000);
+        read->set_deadline_ms(scenario_.deadline.count() / 1000);
+        auto* plan = config.add_plan();
         plan->set_name("plan");
-        plan->set_rate(day_.quota), plan->set_burst(burst_of(day_));
-        plan->set_hard_rate(day_.ceiling), plan->set_hard_burst(day_.ceiling_burst);
-        for (int i = 0; i < day_.accounts; ++i) {
-            auto* account = c.add_account();
+        plan->set_rate(scenario_.quota), plan->set_burst(effective_burst(scenario_));
+        plan->set_hard_rate(scenario_.ceiling), plan->set_hard_burst(scenario_.ceiling_burst);
+        for (int i = 0; i < scenario_.accounts; ++i) {
+            auto* account = config.add_account();
             account->set_name(account_name(i));
             account->set_plan("plan");
             account->add_key("key-" + std::to_string(i));
         }
-        if (day_.instances == 1) return c;
-        auto* fleet = c.mutable_peers();
-        fleet->set_rank(rank);
-        if (day_.messages_per_s > 0) fleet->set_messages_per_s(day_.messages_per_s);
-        for (int k = 0; k < day_.instances; ++k) {
-            auto* peer = fleet->add_peer();
+        if (scenario_.instances == 1) return config;
+        auto* peers = config.mutable_peers();
+        peers->set_rank(rank);
+        if (scenario_.peer_messages_per_second > 0)
+            peers->set_messages_per_s(scenario_.peer_messages_per_second);
+        for (int k = 0; k < scenario_.instances; ++k) {
+            auto* peer = peers->add_peer();
             peer->set_rank(k);
-            peer->set_address(k == rank
-                                  ? fmt::format("{}:{}", own[static_cast<std::size_t>(k)].first,
-                                                own[static_cast<std::size_t>(k)].second)
-                                  : relay_->address(rank, k));
+            peer->set_address(
+                k == rank ? fmt::format("{}:{}", peer_endpoints[static_cast<std::size_t>(k)].first,
+                                        peer_endpoints[static_cast<std::size_t>(k)].second)
+                          : relay_->address(rank, k));
         }
-        return c;
+        return config;
+    }
+    void reset_network() {
+        relay_->set_network(scenario_.loss, scenario_.min_delay, scenario_.max_delay);
     }
-    void calm() { relay_->set(day_.loss, day_.least_delay, day_.most_delay); }
 
-    bool listening() const {
-        return std::all_of(ports_.begin(), ports_.end(), [](int p) { return p > 0; });
+    bool all_listening() const {
+        return std::all_of(ports_.begin(), ports_.end(), [](int port) { return port > 0; });
     }
-    void look_for_ports() {
+    void poll_ports() {
         for (std::size_t i = 0; i < gateways_.size(); ++i) {
-            if (away_[i]) continue;
+            if (is_down_[i]) continue;
             if (!gateways_[i]->running())
-                result_.troubles.push_back(
-                    fmt::format("gateway {} ended by itself; see {}/gateway-{}.log", i, work_, i));
+                result_.errors.push_back(fmt::format(
+                    "gateway {} ended unexpectedly; see {}/gateway-{}.log", i, work_, i));
             ports_[i] = gateways_[i]->port();
         }
-        if (!result_.troubles.empty()) return loop_.stop();
-        loop_.after(look_period, [this] { look_for_ports(); });
+        if (!result_.errors.empty()) return loop_.stop();
+        loop_.after(poll_interval, [this] { poll_ports(); });
     }
-    void wait_until(Micros until, std::function<bool()> over) {
-        std::function<void()> look = [&] {
-            if (loop_.now() >= until || over() || !result_.troubles.empty()) return loop_.stop();
-            loop_.after(look_period, look);
+    void wait_until(Micros until, std::function<bool()> is_over) {
+        std::function<void()> poll = [&] {
+            if (loop_.now() >= until || is_over() || !result_.errors.empty()) return loop_.stop();
+            loop_.after(poll_interval, poll);
         };
-        loop_.after(0us, look);
+        loop_.after(0us, poll);
         loop_.run();
     }
 
-    void arrive() {
-        next_ = arrivals_.next();
-        if (next_.at >= day_.length) return;
-        loop_.after(begin_ + next_.at - loop_.now(), [this] {
-            // Clients go on to the next instance where one is down.
-            int at = next_.instance;
-            for (int tried = 0; ports_[static_cast<std::size_t>(at)] == 0 && tried < day_.instances;
+    void schedule_arrival() {
+        next_arrival_ = arrivals_.next();
+        if (next_arrival_.at >= scenario_.duration) return;
+        loop_.after(began_at_ + next_arrival_.at - loop_.now(), [this] {
+            // Clients use the next instance where one is down.
+            int rank = next_arrival_.instance;
+            for (int tried = 0;
+                 ports_[static_cast<std::size_t>(rank)] == 0 && tried < scenario_.instances;
                  ++tried)
-                at = (at + 1) % day_.instances;
-            clients_->ask(flows_[static_cast<std::size_t>(next_.account)], at);
-            arrive();
+                rank = (rank + 1) % scenario_.instances;
+            clients_->send_one(flows_[static_cast<std::size_t>(next_arrival_.account)], rank);
+            schedule_arrival();
         });
     }
-    void kill(int i, Micros span) {
-        const auto which = static_cast<std::size_t>(i);
-        away_[which] = true, ports_[which] = 0;
-        gateways_[which]->stop(SIGKILL);
-        loop_.after(span, [this, which] {
-            gateways_[which]->start();
-            away_[which] = false;
+    void kill(int i, Micros duration) {
+        const auto index = static_cast<std::size_t>(i);
+        is_down_[index] = true, ports_[index] = 0;
+        gateways_[index]->stop(SIGKILL);
+        loop_.after(duration, [this, index] {
+            gateways_[index]->start();
+            is_down_[index] = false;
         });
     }
-    void plan(const FleetTrouble& t) {
-        const int who = t.instance < 0 ? home_of_first(day_) : t.instance;
-        const auto at = [this](Micros when, std::function<void()> call) {
-            loop_.after(when, std::move(call));
+    void schedule_fault(const FleetFault& fault) {
+        const int rank = fault.instance < 0 ? first_account_owner(scenario_) : fault.instance;
+        const auto schedule = [this](Micros when, std::function<void()> callback) {
+            loop_.after(when, std::move(callback));
         };
-        auto& process = gateways_[static_cast<std::size_t>(who)];
-        switch (t.kind) {
-            case Trouble::kill:
-                return at(t.at, [this, who, t] { kill(who, t.span); });
-            case Trouble::stall:
-                at(t.at, [&process] { process->signal(SIGSTOP); });
-                return at(t.at + t.span, [&process] { process->signal(SIGCONT); });
-            case Trouble::partition:
-                at(t.at, [this] { relay_->part(true); });
-                return at(t.at + t.span, [this] { relay_->part(false); });
-            case Trouble::lose:
-                at(t.at, [this, t] { relay_->set(t.loss, day_.least_delay, day_.most_delay); });
-                return at(t.at + t.span, [this] { calm(); });
-            case Trouble::restart_all:
-                for (int i = 0; i < day_.instances; ++i)
-                    at(t.at + i * t.span, [this, i, t] { kill(i, t.span); });
+        auto& process = gateways_[static_cast<std::size_t>(rank)];
+        switch (fault.kind) {
+            case FaultKind::kill:
+                return schedule(fault.at, [this, rank, fault] { kill(rank, fault.duration); });
+            case FaultKind::stall:
+                schedule(fault.at, [&process] { process->signal(SIGSTOP); });
+                return schedule(fault.at + fault.duration,
+                                [&process] { process->signal(SIGCONT); });
+            case FaultKind::partition:
+                schedule(fault.at, [this] { relay_->partition(true); });
+                return schedule(fault.at + fault.duration, [this] { relay_->partition(false); });
+            case FaultKind::lose:
+                schedule(fault.at, [this, fault] {
+                    relay_->set_network(fault.loss, scenario_.min_delay, scenario_.max_delay);
+                });
+                return schedule(fault.at + fault.duration, [this] { reset_network(); });
+            case FaultKind::restart_all:
+                for (int i = 0; i < scenario_.instances; ++i)
+                    schedule(fault.at + i * fault.duration,
+                             [this, i, fault] { kill(i, fault.duration); });
         }
     }
 
-    // Clients and hosts wrote down what passed; a try is found again by its id.
+    // Joins the records of clients and hosts by request id.
     void read_records() {
-        std::map<std::string, FleetTry> tries;
-        std::map<std::string, int> accounts;
-        for (int i = 0; i < day_.accounts; ++i)
-            accounts[account_name(i)] = i;
-        for (const auto& r : records_.all()) {
-            const auto id = r.find("id");
-            if (id == r.end()) continue;
-            const Micros t = Micros(r.at("t").get<std::int64_t>()) - begin_;
-            const auto& what = r.at("what").get_ref<const std::string&>();
-            FleetTry& one = tries[id->get<std::string>()];
-            if (r.at("who") == "host") {
-                if (what == "received" && one.at_host < 0us) one.at_host = t;
+        std::map<std::string, FleetRequest> requests;
+        std::map<std::string, int> account_numbers;
+        for (int i = 0; i < scenario_.accounts; ++i)
+            account_numbers[account_name(i)] = i;
+        for (const auto& record : records_.all()) {
+            const auto id = record.find("id");
+            if (id == record.end()) continue;
+            const Micros time = Micros(record.at("t").get<std::int64_t>()) - began_at_;
+            const auto& what = record.at("what").get_ref<const std::string&>();
+            FleetRequest& request = requests[id->get<std::string>()];
+            if (record.at("who") == "host") {
+                if (what == "received" && request.received_at < 0us) request.received_at = time;
             } else if (what == "sent") {
-                one.sent = t, one.account = accounts[r.at("account").get<std::string>()];
-                one.instance = r.at("gateway").get<int>();
+                request.sent_at = time,
+                request.account = account_numbers[record.at("account").get<std::string>()];
+                request.instance = record.at("gateway").get<int>();
             } else if (what == "answer") {
-                const int status = r.at("status").get<int>();
-                const auto why = r.at("reason").get<std::string>();
-                one.ended = t;
-                one.ending = status == 200                    ? Ending::served
-                             : why == "quota"                 ? Ending::quota
-                             : why == "ceiling"               ? Ending::ceiling
-                             : status == 429 || status == 503 ? Ending::refused
-                                                              : Ending::failed;
+                const int status = record.at("status").get<int>();
+                const auto reason = record.at("reason").get<std::string>();
+                request.ended_at = time;
+                request.outcome = status == 200                    ? RequestOutcome::served
+                                  : reason == "quota"              ? RequestOutcome::quota
+                                  : reason == "ceiling"            ? RequestOutcome::ceiling
+                                  : status == 429 || status == 503 ? RequestOutcome::rejected
+                                                                   : RequestOutcome::failed;
             } else if (what == "unreached" || what == "broken" || what == "gave_up") {
-                one.ended = t, one.ending = Ending::failed;
+                request.ended_at = time, request.outcome = RequestOutcome::failed;
             }
         }
-        for (auto& [id, one] : tries)
-            result_.tries.push_back(one);
+        for (auto& [id, request] : requests)
+            result_.requests.push_back(request);
     }
 
-    const FleetDay& day_;
+    const FleetScenario& scenario_;
     std::string work_;
     event::Loop loop_;
     fakes::Recorder records_;
     Arrivals arrivals_;
-    Arrival next_;
+    Arrival next_arrival_;
     std::vector<std::unique_ptr<fakes::Host>> hosts_;
     std::unique_ptr<fakes::Relay> relay_;
     std::vector<std::unique_ptr<GatewayProcess>> gateways_;
     std::vector<int> ports_;
-    std::vector<bool> away_;
+    std::vector<bool> is_down_;
     std::vector<fakes::Flow> flows_;
     std::unique_ptr<fakes::Clients> clients_;
-    Micros begin_{0};
+    Micros began_at_{0};
     FleetResult result_;
 };
 }  // namespace
 
-FleetResult play_sockets(const FleetDay& day, const std::string& program, const std::string& work) {
+FleetResult run_fleet_on_sockets(const FleetScenario& scenario, const std::string& program,
+                                 const std::string& work) {
     signal(SIGPIPE, SIG_IGN);
-    return SocketDay(day, program, work).run();
+    return SocketFleet(scenario, program, work).run();
 }
 
 }  // namespace silverreach::scenario
--- a/scenario_runner/fleet/socket_fleet.h
+++ b/scenario_runner/fleet/socket_fleet.h
@@ -1,5 +1,5 @@
-// A fleet's day on loopback: gateways as processes, clients, hosts and a relay of messages as
-// stand-ins here.
+// Runs a fleet scenario on loopback: the gateways are processes; clients, hosts and the relay for
+// peer messages are fakes in this process.
 #pragma once
 
 #include <string>
@@ -8,8 +8,10 @@
 
 namespace silverreach::scenario {
 
-// `program`: the gateway's executable. `work`: a folder for configurations and logs. Throws
-// std::runtime_error with a plain message.
-FleetResult play_sockets(const FleetDay& day, const std::string& program, const std::string& work);
+// `program`: the gateway's executable. `work`: an existing folder for configurations and logs.
+// Throws std::runtime_error if the scenario has too many instances, a file cannot be written or a
+// gateway process cannot be started.
+FleetResult run_fleet_on_sockets(const FleetScenario& scenario, const std::string& program,
+                                 const std::string& work);
 
 }  // namespace silverreach::scenario
--- a/scenario_runner/fleet/virtual_fleet.h
+++ b/scenario_runner/fleet/virtual_fleet.h
@@ -1,5 +1,6 @@
-// A fleet's day in virtual time: the real core and module at every instance, with hosts, clients
-// and messages simulated around them. Same day, same seed: same result.
+// Runs a fleet scenario in virtual time: every instance has the real request coordinator and
+// decision engine; hosts, clients and messages are simulated. The same scenario and seed give the
+// same result.
 #pragma once
 
 #include <vector>
@@ -9,11 +10,11 @@
 namespace silverreach::scenario {
 
 struct FleetResult {
-    std::vector<FleetTry> tries;
+    std::vector<FleetRequest> requests;
     FleetTraffic traffic;
-    std::vector<std::string> troubles;  // what makes the day prove nothing
+    std::vector<std::string> errors;  // with an error the result is not valid
 };
-// `messages_default`: where the day names none.
-FleetResult play_virtual(const FleetDay& day, double messages_default);
+// `default_message_rate`: peer messages per second where the scenario does not set them.
+FleetResult simulate_fleet(const FleetScenario& scenario, double default_message_rate);
 
 }  // namespace silverreach::scenario
--- a/scenario_runner/gateway_process.cpp
+++ b/scenario_runner/gateway_process.cpp
@@ -14,8 +14,8 @@
 
 namespace silverreach::scenario {
 namespace {
-double seconds(const timeval& t) {
-    return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_usec) / 1e6;
+double seconds(const timeval& time) {
+    return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1e6;
 }
 }  // namespace
 
@@ -29,12 +29,13 @@
 
 std::vector<std::pair<std::string, int>> peer_addresses(int gateways) {
     constexpr int peer_port = 7946;
-    const int net = 64 + getpid() % 128, part = getpid() / 128 % 250;
-    std::vector<std::pair<std::string, int>> own;
-    own.reserve(gateways);
+    const int second_byte = 64 + getpid() % 128, third_byte = getpid() / 128 % 250;
+    std::vector<std::pair<std::string, int>> addresses;
+    addresses.reserve(gateways);
     for (int i = 0; i < gateways; ++i)
-        own.emplace_back(fmt::format("127.{}.{}.{}", net, part, i + 1), peer_port);
-    return own;
+        addresses.emplace_back(fmt::format("127.{}.{}.{}", second_byte, third_byte, i + 1),
+                               peer_port);
+    return addresses;
 }
 
 GatewayProcess::~GatewayProcess() {
@@ -44,12 +45,12 @@
 void GatewayProcess::start() {
     int pipe_ends[2];
     if (pipe2(pipe_ends, O_CLOEXEC | O_NONBLOCK) != 0)
-        throw std::runtime_error("no pipe for a gateway");
-    out_ = event::Fd(pipe_ends[0]);
-    event::Fd writing(pipe_ends[1]);
+        throw std::runtime_error("cannot create a pipe for a gateway");
+    output_fd_ = event::Fd(pipe_ends[0]);
+    event::Fd write_end(pipe_ends[1]);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_adddup2(&actions, writing.get(), 1);
+    posix_spawn_file_actions_adddup2(&actions, write_end.get(), 1);
     posix_spawn_file_actions_addopen(&actions, 2, log_.c_str(), O_WRONLY | O_CREAT | O_APPEND,
                                      0644);
     const char* argv[] = {program_.c_str(), "serve", "--config", config_.c_str(), nullptr};
@@ -57,16 +58,16 @@
         posix_spawn(&pid_, program_.c_str(), &actions, nullptr, const_cast<char**>(argv), environ);
     posix_spawn_file_actions_destroy(&actions);
     if (error != 0) throw std::runtime_error(program_ + ": cannot be started");
-    text_.clear(), port_ = 0;
+    output_.clear(), port_ = 0;
 }
 int GatewayProcess::port() {
     char buffer[256];
-    if (port_ == 0 && out_) {
-        const ssize_t n = ::read(out_.get(), buffer, sizeof buffer);
-        if (n > 0) text_.append(buffer, static_cast<std::size_t>(n));
-        const std::size_t at = text_.find("port ");
-        if (at != std::string::npos && text_.find('\n', at) != std::string::npos)
-            port_ = std::atoi(text_.c_str() + at + 5);
+    if (port_ == 0 && output_fd_) {
+        const ssize_t size = ::read(output_fd_.get(), buffer, sizeof buffer);
+        if (size > 0) output_.append(buffer, static_cast<std::size_t>(size));
+        const std::size_t position = output_.find("port ");
+        if (position != std::string::npos && output_.find('\n', position) != std::string::npos)
+            port_ = std::atoi(output_.c_str() + position + 5);
     }
     return port_;
 }
@@ -80,9 +81,9 @@
 void GatewayProcess::stop(int number) {
     if (pid_ <= 0) return;
     ::kill(pid_, number);
-    rusage used{};
-    wait4(std::exchange(pid_, 0), nullptr, 0, &used);
-    cpu_s_ += seconds(used.ru_utime) + seconds(used.ru_stime);
+    rusage usage{};
+    wait4(std::exchange(pid_, 0), nullptr, 0, &usage);
+    cpu_s_ += seconds(usage.ru_utime) + seconds(usage.ru_stime);
 }
 
 }  // namespace silverreach::scenario
--- a/scenario_runner/invariant_checker.cpp
+++ b/scenario_runner/invariant_checker.cpp
@@ -11,335 +11,369 @@
 namespace silverreach::scenario {
 namespace {
 using nlohmann::json;
-using Time = std::int64_t;
-constexpr std::size_t most_told = 20;  // of each rule; the rest is counted
+using Time = std::int64_t;                // microseconds
+constexpr std::size_t max_reported = 20;  // violations of each invariant; others are counted
 
-struct TryFacts {
+struct RequestRecords {
     const json* sent = nullptr;
-    std::vector<const json*> ends;      // answers, breaks, given up
+    std::vector<const json*> ends;      // responses, broken connections, timeouts
     std::vector<const json*> received;  // by hosts
-    int sent_times = 0, extras = 0;
+    int sent_count = 0, extra_count = 0;
 };
 
-class Judge {
+class InvariantChecker {
   public:
-    Judge(const std::vector<json>& records, const Terms& terms)
-        : records_(records), terms_(terms) {}
+    InvariantChecker(const std::vector<json>& records, const CheckSettings& settings)
+        : records_(records), settings_(settings) {}
 
-    Verdict run() {
-        gather();
-        for (const auto& [id, t] : tries_) {
-            one_answer(id, t);
-            counted_once(id, t);
+    CheckReport run() {
+        group_records();
+        for (const auto& [id, request] : requests_) {
+            check_final_response(id, request);
+            check_counted_once(id, request);
         }
-        effects();
-        drains();
-        cold_hosts();
-        ceilings();
-        for (const auto& [rule, n] : hidden_)
-            verdict_.broken.emplace_back(rule, fmt::format("and {} more", n));
-        return std::move(verdict_);
+        check_effects();
+        check_drains();
+        check_cold_hosts();
+        check_ceilings();
+        for (const auto& [invariant, count] : omitted_counts_)
+            report_.violations.emplace_back(invariant, fmt::format("and {} more", count));
+        return std::move(report_);
     }
 
   private:
-    static std::string str(const json& r, const char* name) { return r.value(name, std::string()); }
-    static Time at(const json& r) { return r["t"].get<Time>(); }
-    void looked(Rule rule) { ++verdict_.looked_at[rule]; }
-    void broken(Rule rule, std::string what) {
-        if (told_[rule]++ < most_told)
-            verdict_.broken.emplace_back(rule, std::move(what));
+    static std::string text_field(const json& record, const char* name) {
+        return record.value(name, std::string());
+    }
+    static Time time_of(const json& record) { return record["t"].get<Time>(); }
+    void count_check(Invariant invariant) { ++report_.check_counts[invariant]; }
+    void add_violation(Invariant invariant, std::string description) {
+        if (reported_counts_[invariant]++ < max_reported)
+            report_.violations.emplace_back(invariant, std::move(description));
         else
-            ++hidden_[rule];
+            ++omitted_counts_[invariant];
     }
 
-    void gather() {
-        for (const json& r : records_) {
-            const std::string who = str(r, "who"), what = str(r, "what"), id = str(r, "id");
+    void group_records() {
+        for (const json& record : records_) {
+            const std::string who = text_field(record, "who"), what = text_field(record, "what"),
+                              id = text_field(record, "id");
             if (who == "client") {
-                TryFacts& t = tries_[id];
+                RequestRecords& request = requests_[id];
                 if (what == "sent")
-                    t.sent = &r, ++t.sent_times;
+                    request.sent = &record, ++request.sent_count;
                 else if (what == "extra")
-                    ++t.extras;
+                    ++request.extra_count;
                 else
-                    t.ends.push_back(&r);
+                    request.ends.push_back(&record);
             } else if (who == "host" && what == "received") {
-                tries_[id].received.push_back(&r);
+                requests_[id].received.push_back(&record);
             } else if (who == "drill" && (what == "killed" || what == "started")) {
-                lives_[r.value("gateway", 0)].emplace_back(at(r), what == "started");
+                process_changes_[record.value("gateway", 0)].emplace_back(time_of(record),
+                                                                          what == "started");
             }
         }
     }
-    // Whether the gateway's process died, or was not there, at some moment of the span.
-    bool away(int gateway, Time from, Time until) const {
-        const auto it = lives_.find(gateway);
-        if (it == lives_.end()) return false;
-        bool up = true;
-        for (const auto& [t, started] : it->second) {
-            if (t > until) break;
-            if (!started && t >= from) return true;
-            up = started;
-            if (t < from) continue;
-            // Came up within the span, so it was away before. At its first moment too: all that the
-            // drill sees in one turn of its loop has one time, whatever came first.
+    // Returns whether the gateway's process ended or was not running at some time of the interval.
+    bool was_down(int gateway, Time from, Time until) const {
+        const auto it = process_changes_.find(gateway);
+        if (it == process_changes_.end()) return false;
+        bool is_running = true;
+        for (const auto& [time, started] : it->second) {
+            if (time > until) break;
+            if (!started && time >= from) return true;
+            is_running = started;
+            if (time < from) continue;
+            // It started within the interval, so it was down before. This includes a start at
+            // `from`: all records of one turn of the event loop have the same time, whichever event
+            // came first.
             if (started) return true;
         }
-        return !up;
+        return !is_running;
     }
 
-    void one_answer(const std::string& id, const TryFacts& t) {
-        constexpr Rule rule = Rule::one_answer;
-        if (!t.sent) return;
-        looked(rule);
-        const int gateway = t.sent->value("gateway", 0);
-        const Time begun = at(*t.sent),
-                   due = begun + t.sent->value("deadline_us", Time(0)) + terms_.slack.count();
-        if (t.extras) broken(rule, fmt::format("{}: bytes beyond its answer", id));
-        if (t.ends.size() > 1) broken(rule, fmt::format("{}: {} ends", id, t.ends.size()));
-        const bool excused = away(gateway, begun, due);
-        if (t.ends.empty()) {
-            if (!excused) broken(rule, fmt::format("{}: no end at all", id));
+    void check_final_response(const std::string& id, const RequestRecords& request) {
+        constexpr Invariant invariant = Invariant::one_final_response;
+        if (!request.sent) return;
+        count_check(invariant);
+        const int gateway = request.sent->value("gateway", 0);
+        const Time sent_at = time_of(*request.sent),
+                   latest_end = sent_at + request.sent->value("deadline_us", Time(0)) +
+                                settings_.time_tolerance.count();
+        if (request.extra_count)
+            add_violation(invariant, fmt::format("{}: bytes after its response", id));
+        if (request.ends.size() > 1)
+            add_violation(invariant, fmt::format("{}: {} ends", id, request.ends.size()));
+        const bool is_excused = was_down(gateway, sent_at, latest_end);
+        if (request.ends.empty()) {
+            if (!is_excused) add_violation(invariant, fmt::format("{}: no end", id));
             return;
         }
-        const json& end = *t.ends.front();
-        const std::string what = str(end, "what");
-        // A head that was followed by a break is an answer that failed: it looked at no time like a
-        // whole one.
-        const bool final = what == "answer" || (what == "broken" && end.value("head_seen", false));
-        if (!final && !excused)
-            broken(rule, fmt::format("{}: {} at gateway {}", id, what, gateway));
-        if (final && at(end) > due && !excused)
-            broken(rule,
-                   fmt::format("{}: answered {} ms after its time", id, (at(end) - due) / 1000));
-        for (const json* r : t.received)
-            if (final && at(*r) > at(end) + terms_.slack.count())
-                broken(rule,
-                       fmt::format("{}: sent to {} after its final answer", id, str(*r, "host")));
+        const json& end = *request.ends.front();
+        const std::string what = text_field(end, "what");
+        // A response whose connection breaks after the head is a final response that failed: the
+        // client never takes it for a complete one.
+        const bool is_final =
+            what == "answer" || (what == "broken" && end.value("head_seen", false));
+        if (!is_final && !is_excused)
+            add_violation(invariant, fmt::format("{}: {} at gateway {}", id, what, gateway));
+        if (is_final && time_of(end) > latest_end && !is_excused)
+            add_violation(invariant, fmt::format("{}: response {} ms after its deadline", id,
+                                                 (time_of(end) - latest_end) / 1000));
+        for (const json* record : request.received)
+            if (is_final && time_of(*record) > time_of(end) + settings_.time_tolerance.count())
+                add_violation(invariant, fmt::format("{}: sent to {} after its final response", id,
+                                                     text_field(*record, "host")));
     }
 
-    void counted_once(const std::string& id, const TryFacts& t) {
-        constexpr Rule rule = Rule::counted_once;
-        looked(rule);
-        if (!t.sent && !t.received.empty())
-            broken(rule, fmt::format("{}: hosts received it, no client sent it", id));
-        if (t.sent_times > 1)
-            broken(rule, fmt::format("{}: sent {} times by clients", id, t.sent_times));
+    void check_counted_once(const std::string& id, const RequestRecords& request) {
+        constexpr Invariant invariant = Invariant::each_request_counted_once;
+        count_check(invariant);
+        if (!request.sent && !request.received.empty())
+            add_violation(invariant,
+                          fmt::format("{}: received by a host but sent by no client", id));
+        if (request.sent_count > 1)
+            add_violation(invariant,
+                          fmt::format("{}: sent {} times by clients", id, request.sent_count));
         std::set<int> attempts;
-        for (const json* r : t.received)
-            if (!attempts.insert(r->value("attempt", -1)).second)
-                broken(rule,
-                       fmt::format("{}: attempt {} received twice", id, r->value("attempt", -1)));
-        for (const json* r : t.received)
-            if (t.sent && r->value("units", 0.0) != t.sent->value("units", 0.0))
-                broken(rule, fmt::format("{}: units changed on the way", id));
+        for (const json* record : request.received)
+            if (!attempts.insert(record->value("attempt", -1)).second)
+                add_violation(invariant, fmt::format("{}: attempt {} received twice", id,
+                                                     record->value("attempt", -1)));
+        for (const json* record : request.received)
+            if (request.sent && record->value("units", 0.0) != request.sent->value("units", 0.0))
+                add_violation(invariant,
+                              fmt::format("{}: units differ between client and host", id));
     }
 
-    // An operation that must not run twice: counted by what hosts ran, whichever try and gateway
-    // brought it. And a refusal says that nothing ran, so no host may have taken an unsafe one
-    // before it.
-    void effects() {
-        constexpr Rule rule = Rule::no_effect_twice;
+    // An operation that is not safe runs at most once on all hosts, over all requests and gateways
+    // that sent it. A rejection states that nothing ran, so no host may have accepted an unsafe
+    // request before its rejection.
+    void check_effects() {
+        constexpr Invariant invariant = Invariant::no_duplicate_effect;
         std::map<std::string, int> runs;
-        for (const json& r : records_)
-            if (str(r, "who") == "host" && str(r, "what") == "ran" && str(r, "effect") != "safe")
-                ++runs[str(r, "op")];
-        for (const auto& [op, n] : runs) {
-            looked(rule);
-            if (n > 1) broken(rule, fmt::format("{}: ran {} times", op, n));
+        for (const json& record : records_)
+            if (text_field(record, "who") == "host" && text_field(record, "what") == "ran" &&
+                text_field(record, "effect") != "safe")
+                ++runs[text_field(record, "op")];
+        for (const auto& [op, count] : runs) {
+            count_check(invariant);
+            if (count > 1) add_violation(invariant, fmt::format("{}: ran {} times", op, count));
         }
-        static const std::set<std::string> refusals = {"quota",   "ceiling",   "open", "pressed",
-                                                       "no-host", "no-answer", "late"};
-        for (const auto& [id, t] : tries_) {
-            if (!t.sent || str(*t.sent, "effect") != "unsafe") continue;
-            looked(rule);
-            const bool refused =
-                !t.ends.empty() && refusals.contains(str(*t.ends.front(), "reason"));
-            for (const json* r : t.received)
-                if (refused && r->value("taken", false))
-                    broken(rule,
-                           fmt::format("{}: refused though {} had taken it", id, str(*r, "host")));
+        static const std::set<std::string> rejections = {"quota",   "ceiling",   "open", "pressed",
+                                                         "no-host", "no-answer", "late"};
+        for (const auto& [id, request] : requests_) {
+            if (!request.sent || text_field(*request.sent, "effect") != "unsafe") continue;
+            count_check(invariant);
+            const bool is_rejected = !request.ends.empty() && rejections.contains(text_field(
+                                                                  *request.ends.front(), "reason"));
+            for (const json* record : request.received)
+                if (is_rejected && record->value("taken", false))
+                    add_violation(invariant, fmt::format("{}: rejected although {} had accepted it",
+                                                         id, text_field(*record, "host")));
         }
     }
 
-    void drains() {
-        constexpr Rule rule = Rule::drains_kept;
-        struct Told {
+    void check_drains() {
+        constexpr Invariant invariant = Invariant::drains_respected;
+        struct ListedState {
             Time since;
-            bool up;
+            bool is_healthy;
         };
-        std::map<std::pair<int, std::string>, std::vector<Told>> told;  // by gateway and host
+        std::map<std::pair<int, std::string>, std::vector<ListedState>>
+            states;  // by gateway and host
         std::map<int, std::set<std::string>> listed;
-        for (const json& r : records_) {
-            if (str(r, "who") == "drill" && str(r, "what") == "killed")
-                listed.erase(r.value("gateway", 0));
-            if (str(r, "who") != "roster" || str(r, "what") != "told") continue;
-            const int gateway = r.value("gateway", 0);
+        for (const json& record : records_) {
+            if (text_field(record, "who") == "drill" && text_field(record, "what") == "killed")
+                listed.erase(record.value("gateway", 0));
+            if (text_field(record, "who") != "roster" || text_field(record, "what") != "told")
+                continue;
+            const int gateway = record.value("gateway", 0);
             for (const std::string& host : listed[gateway])
-                if (!r["hosts"].contains(host)) told[{gateway, host}].push_back({at(r), false});
-            for (const auto& [host, state] : r["hosts"].items()) {
+                if (!record["hosts"].contains(host))
+                    states[{gateway, host}].push_back({time_of(record), false});
+            for (const auto& [host, state] : record["hosts"].items()) {
                 listed[gateway].insert(host);
-                told[{gateway, host}].push_back({at(r), state == "HEALTHY"});
+                states[{gateway, host}].push_back({time_of(record), state == "HEALTHY"});
             }
         }
-        for (const json& r : records_) {
-            if (str(r, "who") != "host" || str(r, "what") != "received") continue;
-            const auto it = told.find({r.value("gateway", 0), str(r, "host")});
-            if (it == told.end()) continue;
-            looked(rule);
-            std::optional<Time> down;  // since when the gateway knows better
-            for (const Told& t : it->second) {
-                if (t.since > at(r)) break;
-                if (t.up)
-                    down.reset();
-                else if (!down)
-                    down = t.since;
+        for (const json& record : records_) {
+            if (text_field(record, "who") != "host" || text_field(record, "what") != "received")
+                continue;
+            const auto it = states.find({record.value("gateway", 0), text_field(record, "host")});
+            if (it == states.end()) continue;
+            count_check(invariant);
+            std::optional<Time> down_since;  // when discovery told the gateway
+            for (const ListedState& state : it->second) {
+                if (state.since > time_of(record)) break;
+                if (state.is_healthy)
+                    down_since.reset();
+                else if (!down_since)
+                    down_since = state.since;
             }
-            if (down && at(r) > *down + terms_.drain_grace.count() + terms_.slack.count())
-                broken(rule, fmt::format("{}: sent to {} by gateway {}, {} ms after it was told",
-                                         str(r, "id"), str(r, "host"), r.value("gateway", 0),
-                                         (at(r) - *down) / 1000));
+            if (down_since && time_of(record) > *down_since + settings_.drain_grace.count() +
+                                                    settings_.time_tolerance.count())
+                add_violation(invariant,
+                              fmt::format("{}: sent to {} by gateway {}, {} ms after it was told",
+                                          text_field(record, "id"), text_field(record, "host"),
+                                          record.value("gateway", 0),
+                                          (time_of(record) - *down_since) / 1000));
         }
     }
 
-    // Work received within any window of the fall time, against the multiple of what a cold host
-    // can do meanwhile.
-    void cold_hosts() {
-        constexpr Rule rule = Rule::no_cold_host_pushed_over;
-        if (terms_.fall_multiple <= 0) return;
-        struct Life {
+    // The work that a starting host receives within any overload window stays below the overload
+    // factor times the work that it can do in that time.
+    void check_cold_hosts() {
+        constexpr Invariant invariant = Invariant::no_cold_host_overloaded;
+        if (settings_.overload_factor <= 0) return;
+        struct HostRun {
             Time start = 0;
-            double full = 0;
-            bool cold = false;
+            double full_capacity = 0;
+            bool is_cold = false;
             std::vector<std::pair<Time, double>> arrivals;
         };
-        std::map<std::string, Life> lives;
-        const auto check = [&](const std::string& host, const Life& life) {
-            if (!life.cold) return;
+        std::map<std::string, HostRun> runs;
+        const auto check = [&](const std::string& host, const HostRun& run) {
+            if (!run.is_cold) return;
             std::size_t from = 0;
-            double sum = 0;
-            for (std::size_t i = 0; i < life.arrivals.size(); ++i) {
-                const auto& [t, work] = life.arrivals[i];
-                if (t - life.start > terms_.cold.count()) return;
-                looked(rule);
-                sum += work;
-                while (life.arrivals[from].first + terms_.fall_time.count() < t)
-                    sum -= life.arrivals[from++].second;
-                const double age =
-                    static_cast<double>(t - life.start) / static_cast<double>(terms_.cold.count());
+            double work_sum = 0;
+            for (std::size_t i = 0; i < run.arrivals.size(); ++i) {
+                const auto& [time, work] = run.arrivals[i];
+                if (time - run.start > settings_.slow_start_window.count()) return;
+                count_check(invariant);
+                work_sum += work;
+                while (run.arrivals[from].first + settings_.overload_window.count() < time)
+                    work_sum -= run.arrivals[from++].second;
+                const double age = static_cast<double>(time - run.start) /
+                                   static_cast<double>(settings_.slow_start_window.count());
                 const double capacity =
-                    life.full * (terms_.start_capacity + (1 - terms_.start_capacity) * age);
-                const double window = static_cast<double>(terms_.fall_time.count()) / 1e6;
-                if (sum > terms_.fall_multiple * capacity * window + 2 * work)
-                    return broken(
-                        rule, fmt::format(
-                                  "{}: {:.2f} s of work in {:.1f} s, {:.1f} s after its cold start",
-                                  host, sum, window, static_cast<double>(t - life.start) / 1e6));
+                    run.full_capacity * (settings_.initial_capacity_share +
+                                         (1 - settings_.initial_capacity_share) * age);
+                const double window_s =
+                    static_cast<double>(settings_.overload_window.count()) / 1e6;
+                if (work_sum > settings_.overload_factor * capacity * window_s + 2 * work)
+                    return add_violation(
+                        invariant,
+                        fmt::format(
+                            "{}: {:.2f} s of work in {:.1f} s, {:.1f} s after its cold start", host,
+                            work_sum, window_s, static_cast<double>(time - run.start) / 1e6));
             }
         };
-        for (const json& r : records_) {
-            if (str(r, "who") != "host") continue;
-            const std::string what = str(r, "what"), host = str(r, "host");
-            Life& life = lives[host];
+        for (const json& record : records_) {
+            if (text_field(record, "who") != "host") continue;
+            const std::string what = text_field(record, "what"), host = text_field(record, "host");
+            HostRun& run = runs[host];
             if (what == "started") {
-                check(host, life);
-                life = {at(r), r.value("full_capacity", 0.0), r.value("cold", false), {}};
-                if (life.cold) looked(rule);
+                check(host, run);
+                run = {time_of(record),
+                       record.value("full_capacity", 0.0),
+                       record.value("cold", false),
+                       {}};
+                if (run.is_cold) count_check(invariant);
             } else if (what == "received") {
-                life.arrivals.emplace_back(at(r), r.value("work_us", 0.0) / 1e6);
+                run.arrivals.emplace_back(time_of(record), record.value("work_us", 0.0) / 1e6);
             } else if (what == "fell") {
-                broken(rule, fmt::format("{}: fell over", host));
+                add_violation(invariant, fmt::format("{}: failed from overload", host));
             }
         }
-        for (const auto& [host, life] : lives)
-            check(host, life);
+        for (const auto& [host, run] : runs)
+            check(host, run);
     }
 
-    void ceilings() {
-        constexpr Rule rule = Rule::ceilings_kept;
-        struct Store {
+    void check_ceilings() {
+        constexpr Invariant invariant = Invariant::ceilings_respected;
+        struct TokenBucket {
             double level;
-            Time at = 0;
-            bool told = false;
+            Time updated_at = 0;
+            bool is_reported = false;
         };
-        std::map<std::string, Store> stores;
-        std::set<std::string> counted;
-        for (const json& r : records_) {
-            if (str(r, "who") != "host" || str(r, "what") != "received") continue;
-            const std::string id = str(r, "id");
-            const auto t = tries_.find(id);
-            if (t == tries_.end() || !t->second.sent || !counted.insert(id).second) continue;
-            const std::string account = str(*t->second.sent, "account");
-            const auto ceiling = terms_.ceilings.find(account);
-            if (ceiling == terms_.ceilings.end()) continue;
-            looked(rule);
-            const Ceiling& c = ceiling->second;
-            auto [it, fresh] = stores.try_emplace(account, Store{c.burst, at(r)});
-            Store& s = it->second;
-            s.level = std::min(c.burst, s.level + c.rate * static_cast<double>(at(r) - s.at) / 1e6);
-            s.at = at(r);
-            const double units = r.value("units", 1.0);
-            s.level -= units;
-            if (s.level < -std::max(terms_.ceiling_slack * c.burst, units) - 1e-9 &&
-                !std::exchange(s.told, true))
-                broken(rule, fmt::format("{}: {:.1f} units past its ceiling at {}", account,
-                                         -s.level, id));
+        std::map<std::string, TokenBucket> buckets;
+        std::set<std::string> counted_ids;
+        for (const json& record : records_) {
+            if (text_field(record, "who") != "host" || text_field(record, "what") != "received")
+                continue;
+            const std::string id = text_field(record, "id");
+            const auto request = requests_.find(id);
+            if (request == requests_.end() || !request->second.sent ||
+                !counted_ids.insert(id).second)
+                continue;
+            const std::string account = text_field(*request->second.sent, "account");
+            const auto ceiling = settings_.ceilings.find(account);
+            if (ceiling == settings_.ceilings.end()) continue;
+            count_check(invariant);
+            const Ceiling& limits = ceiling->second;
+            auto [it, is_new] =
+                buckets.try_emplace(account, TokenBucket{limits.burst, time_of(record)});
+            TokenBucket& bucket = it->second;
+            bucket.level = std::min(
+                limits.burst,
+                bucket.level +
+                    limits.rate * static_cast<double>(time_of(record) - bucket.updated_at) / 1e6);
+            bucket.updated_at = time_of(record);
+            const double units = record.value("units", 1.0);
+            bucket.level -= units;
+            if (bucket.level <
+                    -std::max(settings_.ceiling_tolerance * limits.burst, units) - 1e-9 &&
+                !std::exchange(bucket.is_reported, true))
+                add_violation(invariant, fmt::format("{}: {:.1f} units beyond its ceiling at {}",
+                                                     account, -bucket.level, id));
         }
     }
 
     const std::vector<json>& records_;
-    const Terms& terms_;
-    Verdict verdict_;
-    std::map<std::string, TryFacts> tries_;
-    std::map<int, std::vector<std::pair<Time, bool>>> lives_;
-    std::map<Rule, std::size_t> told_, hidden_;
+    const CheckSettings& settings_;
+    CheckReport report_;
+    std::map<std::string, RequestRecords> requests_;
+    std::map<int, std::vector<std::pair<Time, bool>>> process_changes_;
+    std::map<Invariant, std::size_t> reported_counts_, omitted_counts_;
 };
 }  // namespace
 
-std::string_view to_string(Rule rule) {
-    constexpr std::array<std::string_view, rules> names = {
+std::string_view to_string(Invariant invariant) {
+    constexpr std::array<std::string_view, invariant_count> names = {
         "one final answer in time", "no effect twice", "drains kept",
         "no cold host pushed over", "ceilings kept",   "each try counted once"};
-    return names[static_cast<std::size_t>(rule)];
+    return names[static_cast<std::size_t>(invariant)];
 }
-bool Verdict::broke(Rule rule) const {
-    return std::any_of(broken.begin(), broken.end(),
-                       [&](const auto& b) { return b.first == rule; });
+bool CheckReport::has_violation(Invariant invariant) const {
+    return std::any_of(violations.begin(), violations.end(),
+                       [&](const auto& violation) { return violation.first == invariant; });
 }
 
-Verdict judge(std::vector<json> records, const Terms& terms) {
+CheckReport check_invariants(std::vector<json> records, const CheckSettings& settings) {
     std::stable_sort(records.begin(), records.end(), [](const json& a, const json& b) {
         return a["t"].get<Time>() < b["t"].get<Time>();
     });
-    return Judge(records, terms).run();
+    return InvariantChecker(records, settings).run();
 }
 
-std::string summary(const std::vector<json>& records) {
-    std::map<std::string, std::string> account_of;
+std::string format_summary(const std::vector<json>& records) {
+    std::map<std::string, std::string> account_by_id;
     std::map<std::string, std::map<std::string, int>> by_account;
     std::map<std::string, int> sent;
     std::set<std::string> reasons;
-    for (const json& r : records)
-        if (r.value("who", "") == "client" && r.value("what", "") == "sent") {
-            account_of[r.value("id", "")] = r.value("account", "");
-            ++sent[r.value("account", "")];
+    for (const json& record : records)
+        if (record.value("who", "") == "client" && record.value("what", "") == "sent") {
+            account_by_id[record.value("id", "")] = record.value("account", "");
+            ++sent[record.value("account", "")];
         }
-    for (const json& r : records) {
-        if (r.value("who", "") != "client" || r.value("what", "") == "sent") continue;
-        std::string how = r.value("what", "");
-        if (how == "answer")
-            how = r.value("status", 0) < 400 ? "served"
-                  : r.value("reason", "").empty() || r.value("reason", "") == "blank"
-                      ? fmt::format("{}", r.value("status", 0))
-                      : r.value("reason", "");
-        reasons.insert(how);
-        ++by_account[account_of[r.value("id", "")]][how];
+    for (const json& record : records) {
+        if (record.value("who", "") != "client" || record.value("what", "") == "sent") continue;
+        std::string outcome = record.value("what", "");
+        if (outcome == "answer")
+            outcome = record.value("status", 0) < 400 ? "served"
+                      : record.value("reason", "").empty() || record.value("reason", "") == "blank"
+                          ? fmt::format("{}", record.value("status", 0))
+                          : record.value("reason", "");
+        reasons.insert(outcome);
+        ++by_account[account_by_id[record.value("id", "")]][outcome];
     }
     std::string out = fmt::format("{:<14}{:>7}", "account", "tries");
     for (const std::string& reason : reasons)
         out += fmt::format("{:>12}", reason);
     out += "\n";
-    for (const auto& [account, n] : sent) {
-        out += fmt::format("{:<14}{:>7}", account, n);
+    for (const auto& [account, count] : sent) {
+        out += fmt::format("{:<14}{:>7}", account, count);
         for (const std::string& reason : reasons)
             out += fmt::format("{:>12}", by_account[account][reason]);
         out += "\n";
@@ -347,17 +381,17 @@
     return out;
 }
 
-std::string text_of(const Verdict& verdict) {
+std::string format_report(const CheckReport& report) {
     std::string out;
-    for (int i = 0; i < rules; ++i) {
-        const Rule rule = static_cast<Rule>(i);
-        const auto it = verdict.looked_at.find(rule);
-        out += fmt::format("{:<26}{:<8}{} facts\n", to_string(rule),
-                           verdict.broke(rule) ? "BROKEN" : "kept",
-                           it == verdict.looked_at.end() ? 0 : it->second);
+    for (int i = 0; i < invariant_count; ++i) {
+        const Invariant invariant = static_cast<Invariant>(i);
+        const auto it = report.check_counts.find(invariant);
+        out += fmt::format("{:<26}{:<8}{} facts\n", to_string(invariant),
+                           report.has_violation(invariant) ? "BROKEN" : "kept",
+                           it == report.check_counts.end() ? 0 : it->second);
     }
-    for (const auto& [rule, what] : verdict.broken)
-        out += fmt::format("  {}: {}\n", to_string(rule), what);
+    for (const auto& [invariant, what] : report.violations)
+        out += fmt::format("  {}: {}\n", to_string(invariant), what);
     return out;
 }
 
--- a/scenario_runner/invariant_checker.h
+++ b/scenario_runner/invariant_checker.h
@@ -1,4 +1,4 @@
-// Judges a day from what passed on the stand-ins' sockets, and from nothing else. No I/O.
+// Checks the invariants of a scenario run from the records of the fakes alone. No I/O.
 #pragma once
 
 #include <chrono>
@@ -12,40 +12,40 @@
 using Micros = std::chrono::microseconds;
 
 struct Ceiling {
-    double rate = 0, burst = 0;
+    double rate = 0, burst = 0;  // units per second, units
 };
-struct Terms {  // what the rules' figures are on the day
-    Micros slack{30'000}, drain_grace{0};
-    Micros cold{0}, fall_time{0};
-    double start_capacity = 1, fall_multiple = 0;
-    double ceiling_slack = 0.1;
+struct CheckSettings {  // limits and parameters of the invariants
+    Micros time_tolerance{30'000}, drain_grace{0};
+    Micros slow_start_window{0}, overload_window{0};
+    double initial_capacity_share = 1, overload_factor = 0;
+    double ceiling_tolerance = 0.1;           // share of the ceiling's burst
     std::map<std::string, Ceiling> ceilings;  // by account
 };
 
-enum class Rule {
-    one_answer,
-    no_effect_twice,
-    drains_kept,
-    no_cold_host_pushed_over,
-    ceilings_kept,
-    counted_once
+enum class Invariant {
+    one_final_response,
+    no_duplicate_effect,
+    drains_respected,
+    no_cold_host_overloaded,
+    ceilings_respected,
+    each_request_counted_once
 };
-inline constexpr int rules = 6;
-std::string_view to_string(Rule rule);
-
-struct Verdict {
-    std::vector<std::pair<Rule, std::string>> broken;
-    std::map<Rule, std::uint64_t>
-        looked_at;  // facts that each rule was held against; 0 proves nothing
-    bool kept() const { return broken.empty(); }
-    bool broke(Rule rule) const;
+inline constexpr int invariant_count = 6;
+std::string_view to_string(Invariant invariant);
+
+struct CheckReport {
+    std::vector<std::pair<Invariant, std::string>> violations;
+    // Number of facts checked for each invariant; with 0 facts the invariant is untested.
+    std::map<Invariant, std::uint64_t> check_counts;
+    bool passed() const { return violations.empty(); }
+    bool has_violation(Invariant invariant) const;
 };
 
-// `records`: of all stand-ins, in any order.
-Verdict judge(std::vector<nlohmann::json> records, const Terms& terms);
+// `records`: of all fakes, in any order.
+CheckReport check_invariants(std::vector<nlohmann::json> records, const CheckSettings& settings);
 
-// Who was served, refused and why, by account, as a table for people.
-std::string summary(const std::vector<nlohmann::json>& records);
-std::string text_of(const Verdict& verdict);
+// Returns a table of the outcomes of client requests by account.
+std::string format_summary(const std::vector<nlohmann::json>& records);
+std::string format_report(const CheckReport& report);
 
 }  // namespace silverreach::scenario
--- a/scenario_runner/mapping_reader.h
+++ b/scenario_runner/mapping_reader.h
@@ -1,4 +1,4 @@
-// Reads a mapping of a scenario member by member, and says which names were not known. No I/O.
+// Reads the members of one mapping of a scenario file. No I/O.
 #pragma once
 
 #include <chrono>
@@ -10,63 +10,67 @@
 
 namespace silverreach::scenario {
 
-// Reads one mapping's members and says which were not known.
-class Reader {
+// Reads members by name. The destructor reports every member whose name was not requested. All
+// references must outlive the reader.
+class MappingReader {
   public:
-    Reader(const openapi::Value& value, std::string field, const std::string& file,
-           std::vector<openapi::Problem>& problems)
+    MappingReader(const openapi::Value& value, std::string field, const std::string& file,
+                  std::vector<openapi::Problem>& problems)
         : value_(value), field_(std::move(field)), file_(file), problems_(problems) {
-        if (!value.is(openapi::Value::Kind::mapping)) problem(value, "", "a mapping");
+        if (!value.is(openapi::Value::Kind::mapping)) add_problem(value, "", "a mapping");
     }
-    ~Reader() {
-        for (const auto& [name, v] : value_.members)
-            if (!known_.contains(name)) problem(v, name, "a known name");
+    ~MappingReader() {
+        for (const auto& [name, member] : value_.members)
+            if (!known_names_.contains(name)) add_problem(member, name, "a known name");
     }
     const openapi::Value* find(const std::string& name) {
-        known_.insert(name);
+        known_names_.insert(name);
         return value_.find(name);
     }
-    void problem(const openapi::Value& where, const std::string& name, std::string expected) {
+    void add_problem(const openapi::Value& where, const std::string& name, std::string expected) {
         problems_.push_back(
             {file_, where.line, field_ + (name.empty() ? "" : "." + name), std::move(expected)});
     }
+    // The read functions leave `into` unchanged where the member is absent.
     void read(const std::string& name, std::string& into) {
-        const openapi::Value* v = find(name);
-        if (!v) return;
-        if (v->is(openapi::Value::Kind::scalar))
-            into = v->text;
+        const openapi::Value* member = find(name);
+        if (!member) return;
+        if (member->is(openapi::Value::Kind::scalar))
+            into = member->text;
         else
-            problem(*v, name, "text");
+            add_problem(*member, name, "text");
     }
-    void read(const std::string& name, double& into, double least = 0) {
-        const openapi::Value* v = find(name);
-        if (v && (!v->as(into) || into < least))
-            problem(*v, name, "a number from " + std::to_string(least));
+    void read(const std::string& name, double& into, double min_value = 0) {
+        const openapi::Value* member = find(name);
+        if (member && (!member->as(into) || into < min_value))
+            add_problem(*member, name, "a number from " + std::to_string(min_value));
     }
-    template <typename Whole>
-    void read_whole(const std::string& name, Whole& into, double least = 0) {
+    template <typename Integer>
+    void read_integer(const std::string& name, Integer& into, double min_value = 0) {
         auto number = static_cast<double>(into);
-        read(name, number, least);
-        into = static_cast<Whole>(number);
+        read(name, number, min_value);
+        into = static_cast<Integer>(number);
     }
     void read_seconds(const std::string& name, std::chrono::microseconds& into) {
         double number = static_cast<double>(into.count()) / 1e6;
         read(name, number);
         into = std::chrono::microseconds(static_cast<std::int64_t>(number * 1e6));
     }
-    void read_ms(const std::string& name, std::chrono::microseconds& into) {
+    void read_milliseconds(const std::string& name, std::chrono::microseconds& into) {
         double number = static_cast<double>(into.count()) / 1e3;
         read(name, number);
         into = std::chrono::microseconds(static_cast<std::int64_t>(number * 1e3));
     }
+    // Returns the items of a list; no items where the member is absent or not a list.
     const std::vector<openapi::Value>& list(const std::string& name) {
         static const std::vector<openapi::Value> none;
-        const openapi::Value* v = find(name);
-        if (v && !v->is(openapi::Value::Kind::sequence)) problem(*v, name, "a list");
-        return v ? v->items : none;
+        const openapi::Value* member = find(name);
+        if (member && !member->is(openapi::Value::Kind::sequence))
+            add_problem(*member, name, "a list");
+        return member ? member->items : none;
     }
-    void need(const std::string& name) {
-        if (!value_.find(name)) problem(value_, name, "a value");
+    void require(const std::string& name) {
+        if (!value_.find(name)) add_problem(value_, name, "a value");
     }
 
   private:
@@ -74,7 +78,7 @@
     std::string field_;
     const std::string& file_;
     std::vector<openapi::Problem>& problems_;
-    std::set<std::string> known_;
+    std::set<std::string> known_names_;
 };
 
 }  // namespace silverreach::scenario
--- a/scenario_runner/scenario.cpp
+++ b/scenario_runner/scenario.cpp
@@ -11,133 +11,146 @@
 using openapi::Value;
 using Kind = Value::Kind;
 
-const std::map<std::string, Deed>& deeds() {
-    static const std::map<std::string, Deed> all = {
-        {"kill-gateway", Deed::kill_gateway}, {"start-gateway", Deed::start_gateway},
-        {"drain-host", Deed::drain_host},     {"kill-host", Deed::kill_host},
-        {"start-host", Deed::start_host},     {"stall-host", Deed::stall_host},
-        {"refuse-plan", Deed::refuse_plan},   {"cut-answers", Deed::cut_answers},
-        {"lose-zone", Deed::lose_zone},       {"return-zone", Deed::return_zone},
-        {"messages", Deed::messages},         {"cut-gateway", Deed::cut_gateway},
-        {"describe", Deed::describe}};
-    return all;
+const std::map<std::string, ScenarioAction>& actions_by_name() {
+    static const std::map<std::string, ScenarioAction> known_actions = {
+        {"kill-gateway", ScenarioAction::kill_gateway},
+        {"start-gateway", ScenarioAction::start_gateway},
+        {"drain-host", ScenarioAction::drain_host},
+        {"kill-host", ScenarioAction::kill_host},
+        {"start-host", ScenarioAction::start_host},
+        {"stall-host", ScenarioAction::stall_host},
+        {"refuse-plan", ScenarioAction::reject_plan},
+        {"cut-answers", ScenarioAction::truncate_responses},
+        {"lose-zone", ScenarioAction::lose_zone},
+        {"return-zone", ScenarioAction::return_zone},
+        {"messages", ScenarioAction::set_message_loss},
+        {"cut-gateway", ScenarioAction::isolate_gateway},
+        {"describe", ScenarioAction::replace_description}};
+    return known_actions;
 }
 
 }  // namespace
 
-int Scenario::hosts_in_all() const {
-    int sum = 0;
-    for (const HostGroup& g : hosts)
-        sum += g.count;
-    return sum;
+int Scenario::total_hosts() const {
+    int total = 0;
+    for (const HostGroup& host_group : hosts)
+        total += host_group.count;
+    return total;
 }
 
 bool parse_scenario(std::string_view text, const std::string& file, Scenario& into,
                     std::vector<openapi::Problem>& problems) {
-    const std::size_t before = problems.size();
+    const std::size_t problems_before = problems.size();
     Value root;
     if (!openapi::parse(text, file, root, problems)) return false;
     {
-        Reader r(root, "scenario", file, problems);
+        MappingReader root_reader(root, "scenario", file, problems);
         for (const char* name : {"name", "config", "description", "seconds", "hosts", "flows"})
-            r.need(name);
-        r.read("name", into.name);
-        r.read("config", into.config);
-        r.read("description", into.description);
-        r.read_whole("seed", into.seed);
-        r.read_whole("gateways", into.gateways, 1);
-        r.read_seconds("seconds", into.length);
-        r.read_seconds("settle", into.settle);
-        r.read_ms("slack_ms", into.slack);
-        r.read_ms("drain_grace_ms", into.drain_grace);
-        r.read_ms("roster_lag_ms", into.roster_lag);
-        r.read_ms("repeat_window_ms", into.repeat_window);
-        r.read("ceiling_slack", into.ceiling_slack);
-        r.read("loss", into.loss);
-        r.read_ms("least_delay_ms", into.least_delay);
-        r.read_ms("most_delay_ms", into.most_delay);
-        int group = 0;
-        for (const Value& item : r.list("hosts")) {
-            HostGroup g;
-            Reader h(item, "hosts[" + std::to_string(group) + "]", file, problems);
-            auto& t = g.settings.tally;
-            h.read_whole("count", g.count, 1);
-            h.read_whole("cores", t.cores, 1);
-            h.read("speed", t.speed, 0.001);
-            h.read_whole("room", t.room);
-            h.read_ms("cold_ms", t.cold);
-            h.read("start_capacity", t.start_capacity, 0.001);
-            h.read("fall_multiple", t.fall_multiple);
-            h.read_ms("fall_ms", t.fall_time);
-            h.read_ms("work_ms", g.settings.mean_work);
-            h.read("zone", g.settings.zone);
-            h.read("kind", g.settings.kind);
-            h.read_whole("cell", g.settings.cell);
-            into.hosts.push_back(g);
-            ++group;
+            root_reader.require(name);
+        root_reader.read("name", into.name);
+        root_reader.read("config", into.config);
+        root_reader.read("description", into.description);
+        root_reader.read_integer("seed", into.seed);
+        root_reader.read_integer("gateways", into.gateways, 1);
+        root_reader.read_seconds("seconds", into.duration);
+        root_reader.read_seconds("settle", into.settle_time);
+        root_reader.read_milliseconds("slack_ms", into.time_tolerance);
+        root_reader.read_milliseconds("drain_grace_ms", into.drain_grace);
+        root_reader.read_milliseconds("roster_lag_ms", into.discovery_delay);
+        root_reader.read_milliseconds("repeat_window_ms", into.deduplication_window);
+        root_reader.read("ceiling_slack", into.ceiling_tolerance);
+        root_reader.read("loss", into.loss);
+        root_reader.read_milliseconds("least_delay_ms", into.min_delay);
+        root_reader.read_milliseconds("most_delay_ms", into.max_delay);
+        int group_number = 0;
+        for (const Value& item : root_reader.list("hosts")) {
+            HostGroup host_group;
+            MappingReader reader(item, "hosts[" + std::to_string(group_number) + "]", file,
+                                 problems);
+            auto& model = host_group.settings.model;
+            reader.read_integer("count", host_group.count, 1);
+            reader.read_integer("cores", model.cores, 1);
+            reader.read("speed", model.speed, 0.001);
+            reader.read_integer("room", model.queue_limit);
+            reader.read_milliseconds("cold_ms", model.slow_start_window);
+            reader.read("start_capacity", model.initial_capacity_share, 0.001);
+            reader.read("fall_multiple", model.overload_factor);
+            reader.read_milliseconds("fall_ms", model.overload_window);
+            reader.read_milliseconds("work_ms", host_group.settings.mean_work);
+            reader.read("zone", host_group.settings.zone);
+            reader.read("kind", host_group.settings.kind);
+            reader.read_integer("cell", host_group.settings.cell);
+            into.hosts.push_back(host_group);
+            ++group_number;
         }
-        int number = 0;
-        for (const Value& item : r.list("flows")) {
-            fakes::Flow f;
-            Reader w(item, "flows[" + std::to_string(number++) + "]", file, problems);
+        int item_number = 0;
+        for (const Value& item : root_reader.list("flows")) {
+            fakes::Flow flow;
+            MappingReader reader(item, "flows[" + std::to_string(item_number++) + "]", file,
+                                 problems);
             for (const char* name : {"account", "key", "target", "deadline_ms"})
-                w.need(name);
-            w.read("account", f.account);
-            w.read("key", f.key);
-            w.read("method", f.method);
-            w.read("target", f.target);
-            w.read("effect", f.effect);
-            w.read("rate", f.rate);
-            w.read("units", f.units);
-            w.read_ms("deadline_ms", f.deadline);
-            w.read_whole("body", f.body);
-            w.read_whole("retries", f.retries);
-            w.read("burst_rate", f.burst_rate);
-            w.read_seconds("burst_from", f.burst_from);
-            w.read_seconds("burst_until", f.burst_until);
-            if (f.effect != "safe" && f.effect != "keyed" && f.effect != "unsafe")
-                w.problem(item, "effect", "safe, keyed or unsafe");
-            into.flows.push_back(f);
+                reader.require(name);
+            reader.read("account", flow.account);
+            reader.read("key", flow.key);
+            reader.read("method", flow.method);
+            reader.read("target", flow.target);
+            reader.read("effect", flow.effect);
+            reader.read("rate", flow.rate);
+            reader.read("units", flow.units);
+            reader.read_milliseconds("deadline_ms", flow.deadline);
+            reader.read_integer("body", flow.body_size);
+            reader.read_integer("retries", flow.retries);
+            reader.read("burst_rate", flow.burst_rate);
+            reader.read_seconds("burst_from", flow.burst_from);
+            reader.read_seconds("burst_until", flow.burst_until);
+            if (flow.effect != "safe" && flow.effect != "keyed" && flow.effect != "unsafe")
+                reader.add_problem(item, "effect", "safe, keyed or unsafe");
+            into.flows.push_back(flow);
         }
-        number = 0;
-        for (const Value& item : r.list("happenings")) {
-            Happening x;
-            x.line = item.line;
-            Reader w(item, "happenings[" + std::to_string(number++) + "]", file, problems);
-            std::string deed;
-            w.need("at");
-            w.read("do", deed);
-            w.read_seconds("at", x.at);
-            w.read_seconds("for", x.span);
-            w.read_whole("gateway", x.which);
-            w.read_whole("host", x.which);
+        item_number = 0;
+        for (const Value& item : root_reader.list("happenings")) {
+            ScenarioEvent event;
+            event.line = item.line;
+            MappingReader reader(item, "happenings[" + std::to_string(item_number++) + "]", file,
+                                 problems);
+            std::string action_name;
+            reader.require("at");
+            reader.read("do", action_name);
+            reader.read_seconds("at", event.at);
+            reader.read_seconds("for", event.duration);
+            reader.read_integer("gateway", event.index);
+            reader.read_integer("host", event.index);
             for (const char* name : {"plan", "zone", "file"})
-                w.read(name, x.text);
-            w.read("loss", x.loss);
-            const auto it = deeds().find(deed);
-            if (it == deeds().end()) {
-                std::string all;
-                for (const auto& [name, value] : deeds())
-                    all += (all.empty() ? "" : ", ") + name;
-                w.problem(item, "do", "one of " + all);
+                reader.read(name, event.argument);
+            reader.read("loss", event.loss);
+            const auto it = actions_by_name().find(action_name);
+            if (it == actions_by_name().end()) {
+                std::string known_actions;
+                for (const auto& [name, action] : actions_by_name())
+                    known_actions += (known_actions.empty() ? "" : ", ") + name;
+                reader.add_problem(item, "do", "one of " + known_actions);
                 continue;
             }
-            x.deed = it->second;
-            const bool gateway = x.deed == Deed::kill_gateway || x.deed == Deed::start_gateway ||
-                                 x.deed == Deed::cut_gateway;
-            const bool host = x.deed == Deed::drain_host || x.deed == Deed::kill_host ||
-                              x.deed == Deed::start_host || x.deed == Deed::stall_host ||
-                              x.deed == Deed::refuse_plan || x.deed == Deed::cut_answers;
-            if (gateway && x.which >= into.gateways)
-                w.problem(item, "gateway", "a gateway that the scenario has");
-            if (host && x.which >= into.hosts_in_all())
-                w.problem(item, "host", "a host that the scenario has");
-            into.happenings.push_back(x);
+            event.action = it->second;
+            const bool is_gateway_action = event.action == ScenarioAction::kill_gateway ||
+                                           event.action == ScenarioAction::start_gateway ||
+                                           event.action == ScenarioAction::isolate_gateway;
+            const bool is_host_action = event.action == ScenarioAction::drain_host ||
+                                        event.action == ScenarioAction::kill_host ||
+                                        event.action == ScenarioAction::start_host ||
+                                        event.action == ScenarioAction::stall_host ||
+                                        event.action == ScenarioAction::reject_plan ||
+                                        event.action == ScenarioAction::truncate_responses;
+            if (is_gateway_action && event.index >= into.gateways)
+                reader.add_problem(item, "gateway", "a gateway that the scenario has");
+            if (is_host_action && event.index >= into.total_hosts())
+                reader.add_problem(item, "host", "a host that the scenario has");
+            into.events.push_back(event);
         }
     }
-    std::stable_sort(into.happenings.begin(), into.happenings.end(),
-                     [](const Happening& a, const Happening& b) { return a.at < b.at; });
-    return problems.size() == before;
+    std::stable_sort(into.events.begin(), into.events.end(),
+                     [](const ScenarioEvent& a, const ScenarioEvent& b) { return a.at < b.at; });
+    return problems.size() == problems_before;
 }
 
 }  // namespace silverreach::scenario
--- a/scenario_runner/scenario.h
+++ b/scenario_runner/scenario.h
@@ -1,5 +1,5 @@
-// A bad day written down: who runs, who calls, and what goes wrong when. YAML; every error with its
-// line. No I/O.
+// A scenario, read from YAML: gateways, hosts, client traffic and the faults injected at stated
+// times. Every error is reported with its line. No I/O.
 #pragma once
 
 #include <string>
@@ -19,47 +19,48 @@
     fakes::HostSettings settings;
 };
 
-enum class Deed {
+enum class ScenarioAction {
     kill_gateway,
     start_gateway,
     drain_host,
     kill_host,
     start_host,
     stall_host,
-    refuse_plan,
-    cut_answers,
+    reject_plan,
+    truncate_responses,
     lose_zone,
     return_zone,
-    messages,
-    cut_gateway,
-    describe
+    set_message_loss,
+    isolate_gateway,
+    replace_description
 };
-struct Happening {
-    Micros at{0}, span{0};  // span 0: for good
-    Deed deed = Deed::kill_gateway;
-    int which = 0;     // gateway's rank or host's number
-    std::string text;  // plan, zone or file
+struct ScenarioEvent {
+    Micros at{0}, duration{0};  // since the clients started; duration 0: permanent
+    ScenarioAction action = ScenarioAction::kill_gateway;
+    int index = 0;         // rank of the gateway or number of the host
+    std::string argument;  // plan, zone or file
     double loss = 0;
     int line = 0;
 };
 
 struct Scenario {
-    std::string name, config, description;  // files beside the scenario
+    std::string name, config, description;  // the last two: files beside the scenario
     std::uint64_t seed = 1;
-    Micros length{0}, settle{0};  // clients call for `length`, after `settle`
+    Micros duration{0}, settle_time{0};  // clients send for `duration`, after `settle_time`
     int gateways = 1;
     std::vector<HostGroup> hosts;
     std::vector<fakes::Flow> flows;
-    std::vector<Happening> happenings;  // in order of time
+    std::vector<ScenarioEvent> events;  // ordered by time
     double loss = 0;
-    Micros least_delay{0}, most_delay{0}, roster_lag{0};
-    Micros slack{30'000};   // for the clocks of a busy machine, where a rule names a moment
-    Micros drain_grace{0};  // rule 3
-    double ceiling_slack = 0.1;
-    Micros repeat_window{0};  // hosts remember a keyed effect
-    int hosts_in_all() const;
+    Micros min_delay{0}, max_delay{0}, discovery_delay{0};
+    Micros time_tolerance{30'000};  // for every time limit, as a loaded machine delays events
+    Micros drain_grace{0};          // of Invariant::drains_respected
+    double ceiling_tolerance = 0.1;
+    Micros deduplication_window{0};  // how long hosts remember an idempotency key
+    int total_hosts() const;
 };
 
+// Appends every problem to `problems`. Returns false if there was one.
 bool parse_scenario(std::string_view text, const std::string& file, Scenario& into,
                     std::vector<openapi::Problem>& problems);
 
--- a/scenario_runner/scenario_run.cpp
+++ b/scenario_runner/scenario_run.cpp
@@ -18,7 +18,7 @@
 namespace silverreach::scenario {
 namespace {
 using namespace std::chrono_literals;
-constexpr Micros look_period = 5ms, start_due = 20s, end_wait = 10s;
+constexpr Micros poll_interval = 5ms, start_timeout = 20s, drain_timeout = 10s;
 
 std::string read_text(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
@@ -26,268 +26,286 @@
     if (!in || !(text << in.rdbuf())) throw std::runtime_error(path + ": cannot be read");
     return text.str();
 }
-class Day {
+class ScenarioRun {
   public:
-    Day(const Scenario& s, std::string program, std::string folder, const std::string& work,
-        const std::function<void(const std::string&)>& progress)
-        : s_(s),
+    ScenarioRun(const Scenario& scenario, std::string program, std::string folder,
+                const std::string& work, const std::function<void(const std::string&)>& progress)
+        : scenario_(scenario),
           program_(std::move(program)),
           folder_(std::move(folder)),
           work_(work),
           progress_(progress),
           records_(work + "/records.jsonl"),
-          base_(read_config()),
-          roster_(loop_, base_.hosts().cluster(), Micros(0), records_) {
-        for (const auto& a : base_.account())
-            for (const std::string& key : a.key())
-                plan_of_[key] = a.plan();
+          base_config_(read_config()),
+          discovery_(loop_, base_config_.hosts().cluster(), Micros(0), records_) {
+        for (const auto& account : base_config_.account())
+            for (const std::string& key : account.key())
+                plan_by_key_[key] = account.plan();
         make_hosts();
         make_gateways();
-        clients_ = std::make_unique<fakes::Clients>(loop_, s.seed * 31 + 7, records_,
+        clients_ = std::make_unique<fakes::Clients>(loop_, scenario.seed * 31 + 7, records_,
                                                     [this] { return ports_; });
     }
 
-    DayResult run() {
+    ScenarioResult run() {
         for (std::size_t i = 0; i < gateways_.size(); ++i)
             start_gateway(i);
-        wait_until(loop_.now() + start_due, [this] { return all_listening(); });
+        wait_until(loop_.now() + start_timeout, [this] { return all_listening(); });
         if (!all_listening()) {
-            result_.troubles.push_back("a gateway did not start; see its log in " + work_);
+            result_.errors.push_back("a gateway did not start; see its log in " + work_);
             return finish();
         }
-        wait_until(loop_.now() + s_.settle, [] { return false; });
-        begin_ = loop_.now();
-        progress_(fmt::format("{} gateways, {} hosts; {:.0f} s of clients begin", gateways_.size(),
-                              hosts_.size(), static_cast<double>(s_.length.count()) / 1e6));
-        for (const fakes::Flow& flow : s_.flows)
-            clients_->run(flow, s_.length);
-        for (const Happening& h : s_.happenings)
-            loop_.after(h.at, [this, &h] { happen(h); });
-        wait_until(begin_ + s_.length, [] { return false; });
-        wait_until(loop_.now() + end_wait, [this] { return clients_->waiting() == 0; });
+        wait_until(loop_.now() + scenario_.settle_time, [] { return false; });
+        began_at_ = loop_.now();
+        progress_(fmt::format("{} gateways, {} hosts; clients send for {:.0f} s", gateways_.size(),
+                              hosts_.size(),
+                              static_cast<double>(scenario_.duration.count()) / 1e6));
+        for (const fakes::Flow& flow : scenario_.flows)
+            clients_->run(flow, scenario_.duration);
+        for (const ScenarioEvent& event : scenario_.events)
+            loop_.after(event.at, [this, &event] { perform(event); });
+        wait_until(began_at_ + scenario_.duration, [] { return false; });
+        wait_until(loop_.now() + drain_timeout, [this] { return clients_->in_flight() == 0; });
         return finish();
     }
 
   private:
     config::Config read_config() const {
-        config::Config c;
+        config::Config config;
         google::protobuf::TextFormat::Parser parser;
         parser.AllowPartialMessage(true);
-        if (!parser.ParseFromString(read_text(folder_ + "/" + s_.config), &c))
-            throw std::runtime_error(folder_ + "/" + s_.config +
-                                     ": no valid configuration; 'silverreach check' tells more");
-        return c;
+        if (!parser.ParseFromString(read_text(folder_ + "/" + scenario_.config), &config))
+            throw std::runtime_error(
+                folder_ + "/" + scenario_.config +
+                ": not a valid configuration; 'silverreach check' lists the errors");
+        return config;
     }
     void make_hosts() {
-        auto group = std::make_shared<fakes::Group>();
-        group->window = s_.repeat_window;
-        for (const HostGroup& g : s_.hosts)
-            for (int i = 0; i < g.count; ++i) {
+        auto deduplication_group = std::make_shared<fakes::DeduplicationGroup>();
+        deduplication_group->window = scenario_.deduplication_window;
+        for (const HostGroup& host_group : scenario_.hosts)
+            for (int i = 0; i < host_group.count; ++i) {
                 hosts_.push_back(std::make_unique<fakes::Host>(
-                    loop_, g.settings, s_.seed * 1000 + hosts_.size(), records_, group,
-                    [this](const std::string& key) { return plan_of_[key]; }));
-                list(*hosts_.back(), "HEALTHY");
+                    loop_, host_group.settings, scenario_.seed * 1000 + hosts_.size(), records_,
+                    deduplication_group,
+                    [this](const std::string& key) { return plan_by_key_[key]; }));
+                publish(*hosts_.back(), "HEALTHY");
             }
     }
-    void list(const fakes::Host& host, const char* state) {
-        roster_.set(host.address(), {state, host.settings().zone, host.settings().kind,
-                                     host.settings().cell, host.started_unix_ms()});
+    void publish(const fakes::Host& host, const char* state) {
+        discovery_.set(host.address(), {state, host.settings().zone, host.settings().kind,
+                                        host.settings().cell, host.started_unix_ms()});
     }
     void make_gateways() {
-        const auto own = peer_addresses(s_.gateways);
-        relay_ = std::make_unique<fakes::Relay>(loop_, own, s_.seed + 99);
-        relay_->set(s_.loss, s_.least_delay, s_.most_delay);
-        write_text(work_ + "/api", read_text(folder_ + "/" + s_.description));
-        for (int i = 0; i < s_.gateways; ++i) {
-            config::Config c = base_;
-            c.mutable_listen()->set_address("127.0.0.1:0");
-            c.mutable_api()->set_description(work_ + "/api");
-            c.mutable_hosts()->clear_file();
-            c.mutable_hosts()->set_discovery(fmt::format("127.0.0.1:{}", roster_.port()));
-            if (s_.gateways > 1) {
-                auto* fleet = c.mutable_peers();
-                fleet->set_rank(i);
-                for (int k = 0; k < s_.gateways; ++k) {
-                    auto* peer = fleet->add_peer();
+        const auto addresses = peer_addresses(scenario_.gateways);
+        relay_ = std::make_unique<fakes::Relay>(loop_, addresses, scenario_.seed + 99);
+        relay_->set_network(scenario_.loss, scenario_.min_delay, scenario_.max_delay);
+        write_text(work_ + "/api", read_text(folder_ + "/" + scenario_.description));
+        for (int i = 0; i < scenario_.gateways; ++i) {
+            config::Config config = base_config_;
+            config.mutable_listen()->set_address("127.0.0.1:0");
+            config.mutable_api()->set_description(work_ + "/api");
+            config.mutable_hosts()->clear_file();
+            config.mutable_hosts()->set_discovery(fmt::format("127.0.0.1:{}", discovery_.port()));
+            if (scenario_.gateways > 1) {
+                auto* peers = config.mutable_peers();
+                peers->set_rank(i);
+                for (int k = 0; k < scenario_.gateways; ++k) {
+                    auto* peer = peers->add_peer();
                     peer->set_rank(k);
-                    peer->set_address(k == i ? fmt::format("{}:{}",
-                                                           own[static_cast<std::size_t>(i)].first,
-                                                           own[static_cast<std::size_t>(i)].second)
-                                             : relay_->address(i, k));
+                    peer->set_address(
+                        k == i ? fmt::format("{}:{}", addresses[static_cast<std::size_t>(i)].first,
+                                             addresses[static_cast<std::size_t>(i)].second)
+                               : relay_->address(i, k));
                 }
             }
             std::string text;
-            google::protobuf::TextFormat::PrintToString(c, &text);
+            google::protobuf::TextFormat::PrintToString(config, &text);
             const std::string path = fmt::format("{}/gateway-{}.textproto", work_, i);
             write_text(path, text);
             gateways_.push_back(std::make_unique<GatewayProcess>(
                 program_, path, fmt::format("{}/gateway-{}.log", work_, i)));
             ports_.push_back(0);
-            wanted_.push_back(false);
+            should_run_.push_back(false);
         }
     }
 
     void start_gateway(std::size_t i) {
         gateways_[i]->start();
-        wanted_[i] = true;
-        // Not "up" for the judge before it listens; until then clients find nobody.
-        look_for_port(i);
+        should_run_[i] = true;
+        // The checker takes the gateway for down until it listens, as clients cannot connect
+        // before.
+        poll_port(i);
     }
-    void look_for_port(std::size_t i) {
-        if (!wanted_[i]) return;
+    void poll_port(std::size_t i) {
+        if (!should_run_[i]) return;
         if (const int port = gateways_[i]->port()) {
             ports_[i] = port;
             records_.add(loop_.now(), "drill", "started", {{"gateway", i}});
             return;
         }
-        loop_.after(look_period, [this, i] { look_for_port(i); });
+        loop_.after(poll_interval, [this, i] { poll_port(i); });
     }
     bool all_listening() const {
-        return std::all_of(ports_.begin(), ports_.end(), [](int p) { return p > 0; });
+        return std::all_of(ports_.begin(), ports_.end(), [](int port) { return port > 0; });
     }
     void kill_gateway(std::size_t i) {
-        if (!wanted_[i]) return;
+        if (!should_run_[i]) return;
         records_.add(loop_.now(), "drill", "killed", {{"gateway", i}});
-        wanted_[i] = false;
+        should_run_[i] = false;
         ports_[i] = 0;
         gateways_[i]->stop(SIGKILL);
     }
 
-    void later(Micros span, std::function<void()> call) {
-        if (span > 0us) loop_.after(span, std::move(call));
+    void run_after(Micros duration, std::function<void()> callback) {
+        if (duration > 0us) loop_.after(duration, std::move(callback));
     }
-    void happen(const Happening& h) {
-        const auto which = static_cast<std::size_t>(h.which);
-        const auto after = [&](auto call) { later(h.span, call); };
-        switch (h.deed) {
-            case Deed::kill_gateway:
-                say(h, fmt::format("gateway {} killed", which));
-                kill_gateway(which);
-                return after([this, which] { start_gateway(which); });
-            case Deed::start_gateway:
-                return say(h, fmt::format("gateway {} started", which)), start_gateway(which);
-            case Deed::drain_host:
-                say(h, fmt::format("host {} drains", which));
-                list(*hosts_[which], "DRAINING");
-                return after([this, which] { list(*hosts_[which], "HEALTHY"); });
-            case Deed::kill_host:
-                say(h, fmt::format("host {} dies", which));
-                kill_host(which);
-                return after([this, which] { start_host(which); });
-            case Deed::start_host:
-                return say(h, fmt::format("host {} starts cold", which)), start_host(which);
-            case Deed::stall_host:
-                say(h, fmt::format("host {} stalls", which));
-                hosts_[which]->stall(true);
-                return after([this, which] { hosts_[which]->stall(false); });
-            case Deed::refuse_plan:
-                say(h, fmt::format("host {} turns plan {} away", which, h.text));
-                hosts_[which]->refuse_plan(h.text);
-                return after([this, which] { hosts_[which]->refuse_plan(""); });
-            case Deed::cut_answers:
-                say(h, fmt::format("host {} ends its answers in the middle", which));
-                hosts_[which]->cut_answers(true);
-                return after([this, which] { hosts_[which]->cut_answers(false); });
-            case Deed::lose_zone:
-            case Deed::return_zone: {
-                const bool lose = h.deed == Deed::lose_zone;
-                say(h, fmt::format("zone {} {}", h.text, lose ? "is lost" : "is back, cold"));
+    void perform(const ScenarioEvent& event) {
+        const auto index = static_cast<std::size_t>(event.index);
+        const auto after_duration = [&](auto callback) { run_after(event.duration, callback); };
+        switch (event.action) {
+            case ScenarioAction::kill_gateway:
+                report_progress(event, fmt::format("gateway {} killed", index));
+                kill_gateway(index);
+                return after_duration([this, index] { start_gateway(index); });
+            case ScenarioAction::start_gateway:
+                return report_progress(event, fmt::format("gateway {} started", index)),
+                       start_gateway(index);
+            case ScenarioAction::drain_host:
+                report_progress(event, fmt::format("host {} drains", index));
+                publish(*hosts_[index], "DRAINING");
+                return after_duration([this, index] { publish(*hosts_[index], "HEALTHY"); });
+            case ScenarioAction::kill_host:
+                report_progress(event, fmt::format("host {} killed", index));
+                kill_host(index);
+                return after_duration([this, index] { start_host(index); });
+            case ScenarioAction::start_host:
+                return report_progress(event, fmt::format("host {} starts cold", index)),
+                       start_host(index);
+            case ScenarioAction::stall_host:
+                report_progress(event, fmt::format("host {} stalls", index));
+                hosts_[index]->set_stalled(true);
+                return after_duration([this, index] { hosts_[index]->set_stalled(false); });
+            case ScenarioAction::reject_plan:
+                report_progress(event,
+                                fmt::format("host {} rejects plan {}", index, event.argument));
+                hosts_[index]->reject_plan(event.argument);
+                return after_duration([this, index] { hosts_[index]->reject_plan(""); });
+            case ScenarioAction::truncate_responses:
+                report_progress(event, fmt::format("host {} truncates its responses", index));
+                hosts_[index]->truncate_responses(true);
+                return after_duration([this, index] { hosts_[index]->truncate_responses(false); });
+            case ScenarioAction::lose_zone:
+            case ScenarioAction::return_zone: {
+                const bool is_lost = event.action == ScenarioAction::lose_zone;
+                report_progress(event,
+                                fmt::format("zone {} {}", event.argument,
+                                            is_lost ? "is lost" : "is restored, hosts start cold"));
                 for (std::size_t i = 0; i < hosts_.size(); ++i)
-                    if (hosts_[i]->settings().zone == h.text) lose ? kill_host(i) : start_host(i);
+                    if (hosts_[i]->settings().zone == event.argument)
+                        is_lost ? kill_host(i) : start_host(i);
                 return;
             }
-            case Deed::messages:
-                say(h, fmt::format("{:.0f}% of the messages are lost", h.loss * 100));
-                relay_->set(h.loss, s_.least_delay, s_.most_delay);
-                return after([this] { relay_->set(s_.loss, s_.least_delay, s_.most_delay); });
-            case Deed::cut_gateway:
-                say(h, fmt::format("gateway {} is cut off from its peers", which));
-                relay_->cut(h.which, true);
-                return after([this, which] { relay_->cut(static_cast<int>(which), false); });
-            case Deed::describe:
-                say(h, "description " + h.text + " given, SIGHUP");
-                write_text(work_ + "/api", read_text(folder_ + "/" + h.text));
+            case ScenarioAction::set_message_loss:
+                report_progress(event,
+                                fmt::format("{:.0f}% of the messages are lost", event.loss * 100));
+                relay_->set_network(event.loss, scenario_.min_delay, scenario_.max_delay);
+                return after_duration([this] {
+                    relay_->set_network(scenario_.loss, scenario_.min_delay, scenario_.max_delay);
+                });
+            case ScenarioAction::isolate_gateway:
+                report_progress(event, fmt::format("gateway {} is cut off from its peers", index));
+                relay_->isolate(event.index, true);
+                return after_duration(
+                    [this, index] { relay_->isolate(static_cast<int>(index), false); });
+            case ScenarioAction::replace_description:
+                report_progress(event, "description " + event.argument + " installed, SIGHUP sent");
+                write_text(work_ + "/api", read_text(folder_ + "/" + event.argument));
                 for (std::size_t i = 0; i < gateways_.size(); ++i)
-                    if (wanted_[i]) gateways_[i]->signal(SIGHUP);
+                    if (should_run_[i]) gateways_[i]->signal(SIGHUP);
                 return;
         }
     }
-    void say(const Happening& h, const std::string& what) {
-        progress_(fmt::format("{:6.1f} s  {}", static_cast<double>(h.at.count()) / 1e6, what));
+    void report_progress(const ScenarioEvent& event, const std::string& message) {
+        progress_(
+            fmt::format("{:6.1f} s  {}", static_cast<double>(event.at.count()) / 1e6, message));
     }
     void kill_host(std::size_t i) {
         hosts_[i]->kill();
-        loop_.after(s_.roster_lag, [this, i] {
-            if (!hosts_[i]->running()) roster_.remove(hosts_[i]->address());
+        loop_.after(scenario_.discovery_delay, [this, i] {
+            if (!hosts_[i]->running()) discovery_.remove(hosts_[i]->address());
         });
     }
     void start_host(std::size_t i) {
         if (hosts_[i]->running()) return;
         hosts_[i]->start(true);
-        list(*hosts_[i], "HEALTHY");
+        publish(*hosts_[i], "HEALTHY");
     }
 
-    // Runs the loop until the time or until `over`.
-    void wait_until(Micros until, std::function<bool()> over) {
-        std::function<void()> look = [&] {
+    // Runs the loop until the time `until`, until `is_over` returns true or until an error.
+    void wait_until(Micros until, std::function<bool()> is_over) {
+        std::function<void()> poll = [&] {
             for (std::size_t i = 0; i < gateways_.size(); ++i)
-                if (wanted_[i] && !gateways_[i]->running()) {
-                    wanted_[i] = false;
+                if (should_run_[i] && !gateways_[i]->running()) {
+                    should_run_[i] = false;
                     ports_[i] = 0;
-                    result_.troubles.push_back(fmt::format(
-                        "gateway {} ended by itself; see {}/gateway-{}.log", i, work_, i));
+                    result_.errors.push_back(fmt::format(
+                        "gateway {} ended unexpectedly; see {}/gateway-{}.log", i, work_, i));
                 }
-            if (loop_.now() >= until || over() || !result_.troubles.empty()) return loop_.stop();
-            loop_.after(look_period, look);
+            if (loop_.now() >= until || is_over() || !result_.errors.empty()) return loop_.stop();
+            loop_.after(poll_interval, poll);
         };
-        loop_.after(0us, look);
+        loop_.after(0us, poll);
         loop_.run();
     }
 
-    DayResult finish() {
-        progress_(fmt::format("messages carried {}, lost {}", relay_->carried(), relay_->lost()));
-        for (auto& g : gateways_)
-            g->stop(SIGTERM);
-        std::fill(wanted_.begin(), wanted_.end(), false);
-        Terms terms;
-        terms.slack = s_.slack, terms.drain_grace = s_.drain_grace;
-        terms.ceiling_slack = s_.ceiling_slack;
-        terms.cold = std::chrono::milliseconds(base_.rules().cold_ms());
-        terms.fall_time = std::chrono::milliseconds(base_.rules().fall_ms());
-        terms.start_capacity = base_.rules().start_capacity(),
-        terms.fall_multiple = base_.rules().fall_multiple();
-        for (const auto& account : base_.account())
-            for (const auto& plan : base_.plan())
+    ScenarioResult finish() {
+        progress_(fmt::format("messages forwarded {}, dropped {}", relay_->forwarded(),
+                              relay_->dropped()));
+        for (auto& gateway : gateways_)
+            gateway->stop(SIGTERM);
+        std::fill(should_run_.begin(), should_run_.end(), false);
+        CheckSettings settings;
+        settings.time_tolerance = scenario_.time_tolerance,
+        settings.drain_grace = scenario_.drain_grace;
+        settings.ceiling_tolerance = scenario_.ceiling_tolerance;
+        settings.slow_start_window = std::chrono::milliseconds(base_config_.rules().cold_ms());
+        settings.overload_window = std::chrono::milliseconds(base_config_.rules().fall_ms());
+        settings.initial_capacity_share = base_config_.rules().start_capacity(),
+        settings.overload_factor = base_config_.rules().fall_multiple();
+        for (const auto& account : base_config_.account())
+            for (const auto& plan : base_config_.plan())
                 if (plan.name() == account.plan() && plan.hard_rate() > 0)
-                    terms.ceilings[account.name()] = {plan.hard_rate(), plan.hard_burst()};
+                    settings.ceilings[account.name()] = {plan.hard_rate(), plan.hard_burst()};
         result_.records = records_.all();
-        result_.verdict = judge(result_.records, terms);
+        result_.report = check_invariants(result_.records, settings);
         return std::move(result_);
     }
 
-    const Scenario& s_;
+    const Scenario& scenario_;
     std::string program_, folder_, work_;
     const std::function<void(const std::string&)>& progress_;
     event::Loop loop_;
     fakes::Recorder records_;
-    config::Config base_;
-    fakes::DiscoveryServer roster_;
-    std::map<std::string, std::string> plan_of_;
+    config::Config base_config_;
+    fakes::DiscoveryServer discovery_;
+    std::map<std::string, std::string> plan_by_key_;
     std::vector<std::unique_ptr<fakes::Host>> hosts_;
     std::unique_ptr<fakes::Relay> relay_;
     std::vector<std::unique_ptr<GatewayProcess>> gateways_;
     std::vector<int> ports_;
-    std::vector<bool> wanted_;
+    std::vector<bool> should_run_;
     std::unique_ptr<fakes::Clients> clients_;
-    Micros begin_{0};
-    DayResult result_;
+    Micros began_at_{0};
+    ScenarioResult result_;
 };
 }  // namespace
 
-DayResult play(const Scenario& scenario, const std::string& program, const std::string& folder,
-               const std::string& work, const std::function<void(const std::string&)>& progress) {
+ScenarioResult run_scenario(const Scenario& scenario, const std::string& program,
+                            const std::string& folder, const std::string& work,
+                            const std::function<void(const std::string&)>& progress) {
     signal(SIGPIPE, SIG_IGN);
-    return Day(scenario, program, folder, work, progress).run();
+    return ScenarioRun(scenario, program, folder, work, progress).run();
 }
 
 }  // namespace silverreach::scenario
--- a/scenario_runner/scenario_run.h
+++ b/scenario_runner/scenario_run.h
@@ -1,5 +1,6 @@
-// Plays a scenario: real gateways as processes, hosts, roster, clients and relay as stand-ins in
-// this one, all on loopback; then judges the day from the stand-ins' records.
+// Runs a scenario on loopback: the gateways are processes of their own; hosts, discovery service,
+// clients and message relay are fakes in this process. Checks the invariants from the fakes'
+// records afterwards.
 #pragma once
 
 #include <functional>
@@ -14,19 +15,22 @@
 
 namespace silverreach::scenario {
 
-struct DayResult {
-    Verdict verdict;
+struct ScenarioResult {
+    CheckReport report;
     std::vector<nlohmann::json> records;
-    std::vector<std::string>
-        troubles;  // a gateway that did not start or died by itself; the day proves nothing
+    // Gateways that did not start or that ended unexpectedly. With an error the report is not
+    // valid.
+    std::vector<std::string> errors;
 };
 
-// `program`: the gateway's executable. `folder`: where the scenario's files are. `work`: a folder
-// for configurations, logs and records. Throws std::runtime_error with a plain message.
-DayResult play(const Scenario& scenario, const std::string& program, const std::string& folder,
-               const std::string& work, const std::function<void(const std::string&)>& progress);
+// `program`: the gateway's executable. `folder`: contains the files that the scenario names.
+// `work`: an existing folder for configurations, logs and records. Throws std::runtime_error if a
+// file cannot be read or written or a gateway process cannot be started.
+ScenarioResult run_scenario(const Scenario& scenario, const std::string& program,
+                            const std::string& folder, const std::string& work,
+                            const std::function<void(const std::string&)>& progress);
 
-// `drill`, `judge` and `standin` commands. Sets `code` when one has run.
+// Adds the commands `drill` and `standin`. A command that has run stores its exit code in `code`.
 void add_commands(CLI::App& app, int& code);
 
 }  // namespace silverreach::scenario
