--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -1,5 +1,6 @@
-// Side by side in one run on one machine: hosts directly, a bare relay, and the gateway; throughput
-// on one core, added latency at half load, and memory of an idle connection.
+// Compares in one run on one machine: the host without a proxy, a bare relay, the gateway and the
+// node. Measures throughput on one core, added latency at half load, and memory per idle
+// connection.
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <sched.h>
@@ -25,7 +26,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr int hosts = 4, rounds = 3;
+constexpr int host_count = 4, rounds = 3;
 
 void pin(int core) {
     cpu_set_t set;
@@ -34,28 +35,30 @@
     sched_setaffinity(0, sizeof set, &set);
 }
 
-// A server in a process of its own, on a core of its own; tells its port through a pipe.
-struct Child {
+// A server in a process of its own, pinned to one core. It reports its port through a pipe.
+struct ServerProcess {
     pid_t pid = 0;
     int port = 0;
-    Child(int core,
-          const std::function<void(event::Loop&, const std::function<void(int)>&)>& body) {
-        int ends[2];
-        if (pipe(ends) != 0) throw std::runtime_error("no pipe");
+    ServerProcess(int core,
+                  const std::function<void(event::Loop&, const std::function<void(int)>&)>& serve) {
+        int pipe_ends[2];
+        if (pipe(pipe_ends) != 0) throw std::runtime_error("cannot create a pipe");
         pid = fork();
         if (pid == 0) {
             signal(SIGPIPE, SIG_IGN);
             pin(core);
             event::Loop loop;
-            body(loop, [&](int p) { (void)!write(ends[1], &p, sizeof p); });
+            serve(loop, [&](int listening_port) {
+                (void)!write(pipe_ends[1], &listening_port, sizeof listening_port);
+            });
             _exit(0);
         }
-        close(ends[1]);
-        if (read(ends[0], &port, sizeof port) != sizeof port)
+        close(pipe_ends[1]);
+        if (read(pipe_ends[0], &port, sizeof port) != sizeof port)
             throw std::runtime_error("a server did not start");
-        close(ends[0]);
+        close(pipe_ends[0]);
     }
-    ~Child() {
+    ~ServerProcess() {
         kill(pid, SIGKILL);
         waitpid(pid, nullptr, 0);
     }
@@ -78,7 +81,7 @@
     }
 };
 
-std::unique_ptr<config::Config> config_for(const std::string& folder) {
+std::unique_ptr<config::Config> make_config(const std::string& folder) {
     const std::string text = R"(listen { address: "127.0.0.1:0" }
 api { description: "api.yaml" }
 class { name: "read" aim_ms: 800 deadline_ms: 2000 }
@@ -97,13 +100,13 @@
            "paths:\n  /sites/{id}/tally: {get: {parameters: [{name: id, in: path}]}}\n";
     std::vector<openapi::Problem> problems;
     auto config = config::parse(text, "bench", problems);
-    for (const auto& p : problems)
-        std::cerr << openapi::to_string(p) << "\n";
+    for (const auto& problem : problems)
+        std::cerr << openapi::to_string(problem) << "\n";
     return config;
 }
 
-// The node's configuration, and a look-up of an account far below its quota.
-platform::NodeConfig node_config(const std::string& targets) {
+// The configuration of the node; its queries stay far below the quota.
+platform::NodeConfig make_node_config(const std::string& targets) {
     return platform::read_config(
         R"({"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"memory_mb":64,"sockets":512},
 "known":{"rev":1,"all":true,"targets":[)" +
@@ -113,12 +116,12 @@
 "ceilings":{"maxAttempts":3,"mayDuplicate":true},"guarantees":{}}})",
         [](const char*) -> const char* { return nullptr; });
 }
-std::string node_query(std::size_t& id_at) {
+std::string make_node_query(std::size_t& id_offset) {
     std::string out;
     resp::append_array(out, 4);
     resp::append_bulk(out, "SVC.QUERY");
     resp::append_bulk(out, "00000000b4d65521");
-    id_at = out.size() + 5;
+    id_offset = out.size() + 5;
     resp::append_bulk(out, "0000000000000000");
     resp::append_bulk(out, "c=read,t=basic,d=2000,units=1,spread=1,first=0");
     return out;
@@ -126,83 +129,86 @@
 }  // namespace
 
 int main() {
-    char name[] = "/tmp/silverreach-bench-XXXXXX";
-    const std::string folder = mkdtemp(name);
+    char folder_template[] = "/tmp/silverreach-bench-XXXXXX";
+    const std::string folder = mkdtemp(folder_template);
     rlimit limit{};
     getrlimit(RLIMIT_NOFILE, &limit);
     limit.rlim_cur = limit.rlim_max;
     setrlimit(RLIMIT_NOFILE, &limit);
-    const auto config = config_for(folder);
+    const auto config = make_config(folder);
     if (!config) return 1;
-    std::vector<std::unique_ptr<Child>> backs;
+    std::vector<std::unique_ptr<ServerProcess>> host_processes;
     std::vector<std::string> addresses;
-    std::string list;
-    for (int i = 0; i < hosts; ++i) {
-        backs.push_back(
-            std::make_unique<Child>(1, [](event::Loop& loop, const std::function<void(int)>& tell) {
+    std::string endpoints_json;
+    for (int i = 0; i < host_count; ++i) {
+        host_processes.push_back(std::make_unique<ServerProcess>(
+            1, [](event::Loop& loop, const std::function<void(int)>& report_port) {
                 bench::FixedHost host(loop, 200);
-                tell(host.port());
+                report_port(host.port());
                 loop.run();
             }));
-        addresses.push_back(fmt::format("127.0.0.1:{}", backs.back()->port));
-        list += fmt::format(
+        addresses.push_back(fmt::format("127.0.0.1:{}", host_processes.back()->port));
+        endpoints_json += fmt::format(
             "{}{{\"endpoint\":{{\"address\":{{\"socketAddress\":{{\"address\":\"127.0.0.1\","
             "\"portValue\":{}}"
             "}}}}}}}",
-            i ? "," : "", backs.back()->port);
+            i ? "," : "", host_processes.back()->port);
     }
     std::ofstream(folder + "/hosts.json")
-        << "{\"clusterName\":\"hosts\",\"endpoints\":[{\"lbEndpoints\":[" << list << "]}]}";
-    const auto start_gateway = [&](event::Loop& loop, const std::function<void(int)>& tell) {
+        << "{\"clusterName\":\"hosts\",\"endpoints\":[{\"lbEndpoints\":[" << endpoints_json
+        << "]}]}";
+    const auto start_gateway = [&](event::Loop& loop, const std::function<void(int)>& report_port) {
         log::Log log(log::Format::json, log::Level::warning, folder + "/log");
         cli::Instance instance(loop, *config, folder, log);
-        tell(instance.port());
+        report_port(instance.port());
         loop.run();
     };
-    // First, while this process is small: what a fork inherits would hide what connections take.
+    // Measured first, while this process is small: memory inherited by fork() would hide the memory
+    // of the connections.
     {
-        Child fresh(0, start_gateway);
-        const long before = fresh.resident_kib();
+        ServerProcess idle_gateway(0, start_gateway);
+        const long before = idle_gateway.resident_kib();
         std::vector<event::Fd> idle;
         for (int i = 0; i < 9000; ++i) {
             int error = 0;
-            idle.push_back(event::connect_to("127.0.0.1", fresh.port, false, error));
+            idle.push_back(event::connect_to("127.0.0.1", idle_gateway.port, false, error));
             if (i % 100 == 0) usleep(5000);
         }
         usleep(500'000);
-        int taken = 0;
+        int open_descriptors = 0;
         for (const auto& entry :
-             std::filesystem::directory_iterator(fmt::format("/proc/{}/fd", fresh.pid)))
-            (void)entry, ++taken;
-        if (taken < 9000) std::cout << "only " << taken << " descriptors open at the gateway\n";
-        std::cout << fmt::format(
-            "idle connection: {:.1f} KiB resident each, over {}\n",
-            static_cast<double>(fresh.resident_kib() - before) / static_cast<double>(idle.size()),
-            idle.size());
+             std::filesystem::directory_iterator(fmt::format("/proc/{}/fd", idle_gateway.pid)))
+            (void)entry, ++open_descriptors;
+        if (open_descriptors < 9000)
+            std::cout << "only " << open_descriptors << " descriptors open at the gateway\n";
+        std::cout << fmt::format("idle connection: {:.1f} KiB resident each, over {}\n",
+                                 static_cast<double>(idle_gateway.resident_kib() - before) /
+                                     static_cast<double>(idle.size()),
+                                 idle.size());
     }
-    Child relay(0, [&](event::Loop& loop, const std::function<void(int)>& tell) {
-        bench::BareRelay bare(loop, *config, addresses);
-        tell(bare.port());
+    ServerProcess relay(0, [&](event::Loop& loop, const std::function<void(int)>& report_port) {
+        bench::BareRelay server(loop, *config, addresses);
+        report_port(server.port());
         loop.run();
     });
-    Child gateway(0, start_gateway);
-    std::vector<std::unique_ptr<Child>> resp_backs;
+    ServerProcess gateway(0, start_gateway);
+    std::vector<std::unique_ptr<ServerProcess>> resp_host_processes;
     std::string targets_json;
-    for (int i = 0; i < hosts; ++i) {
-        resp_backs.push_back(
-            std::make_unique<Child>(1, [](event::Loop& loop, const std::function<void(int)>& tell) {
+    for (int i = 0; i < host_count; ++i) {
+        resp_host_processes.push_back(std::make_unique<ServerProcess>(
+            1, [](event::Loop& loop, const std::function<void(int)>& report_port) {
                 bench::FixedHost host(loop, 200, bench::Protocol::resp);
-                tell(host.port());
+                report_port(host.port());
                 loop.run();
             }));
         targets_json +=
             fmt::format(R"({}{{"uid":"s-{}","endpoint":"127.0.0.1:{}","state":"ready"}})",
-                        i ? "," : "", i, resp_backs.back()->port);
+                        i ? "," : "", i, resp_host_processes.back()->port);
     }
-    Child node(0, [&](event::Loop& loop, const std::function<void(int)>& tell) {
+    ServerProcess node(0, [&](event::Loop& loop, const std::function<void(int)>& report_port) {
         log::Log log(log::Format::json, log::Level::error, folder + "/node.log");
-        cli::Node running(loop, node_config(targets_json), log);
-        tell(running.port());
+        cli::Node server(loop, make_node_config(targets_json), log);
+        report_port(server.port());
         loop.run();
     });
     pin(2);
@@ -213,52 +219,59 @@
     struct Target {
         const char* name;
         int port;
-        const Child* child;
+        const ServerProcess* child;
         bench::Protocol protocol = bench::Protocol::http;
-        double best = 0, cpu_us = 0;
-    } targets[] = {{"host directly", backs[0]->port, backs[0].get()},
+        double best_rate = 0, cpu_us = 0;
+    } targets[] = {{"host directly", host_processes[0]->port, host_processes[0].get()},
                    {"bare relay", relay.port, &relay},
                    {"gateway", gateway.port, &gateway},
-                   {"RESP host", resp_backs[0]->port, resp_backs[0].get(), bench::Protocol::resp},
+                   {"RESP host", resp_host_processes[0]->port, resp_host_processes[0].get(),
+                    bench::Protocol::resp},
                    {"node", node.port, &node, bench::Protocol::resp}};
     const std::string http_request = load.request;
-    std::size_t id_at = 0;
-    const std::string resp_request = node_query(id_at);
-    const auto aim = [&](const Target& t) {
-        const bool resp = t.protocol == bench::Protocol::resp;
-        load.port = t.port, load.protocol = t.protocol;
-        load.request = resp ? resp_request : http_request, load.id_at = resp ? id_at : 0;
+    std::size_t id_offset = 0;
+    const std::string resp_request = make_node_query(id_offset);
+    const auto set_target = [&](const Target& target) {
+        const bool is_resp = target.protocol == bench::Protocol::resp;
+        load.port = target.port, load.protocol = target.protocol;
+        load.request = is_resp ? resp_request : http_request,
+        load.id_offset = is_resp ? id_offset : 0;
     };
-    std::cout << fmt::format("{} connections, {} hosts, 200-byte answers; best of {} rounds\n",
-                             load.connections, hosts, rounds);
+    std::cout << fmt::format("{} connections, {} hosts, 200-byte responses; best of {} rounds\n",
+                             load.connections, host_count, rounds);
     for (int round = 0; round < rounds; ++round)
-        for (Target& t : targets) {
-            aim(t);
-            const double before = t.child->cpu_seconds();
-            const auto r = bench::run(load);
-            const double cpu = (t.child->cpu_seconds() - before) * r.seconds / (r.seconds + 0.5);
-            if (r.bad) std::cout << fmt::format("{}: {} bad answers\n", t.name, r.bad);
-            if (r.rate() > t.best)
-                t.best = r.rate(), t.cpu_us = cpu / static_cast<double>(r.answers) * 1e6;
+        for (Target& target : targets) {
+            set_target(target);
+            const double before = target.child->cpu_seconds();
+            const auto result = bench::run(load);
+            const double cpu =
+                (target.child->cpu_seconds() - before) * result.seconds / (result.seconds + 0.5);
+            if (result.failures)
+                std::cout << fmt::format("{}: {} failed requests\n", target.name, result.failures);
+            if (result.rate() > target.best_rate)
+                target.best_rate = result.rate(),
+                target.cpu_us = cpu / static_cast<double>(result.responses) * 1e6;
         }
-    for (const Target& t : targets)
+    for (const Target& target : targets)
         std::cout << fmt::format(
-            "{:<14}{:>9.0f} requests/s {:>7.1f} us CPU a request {:>7.2f} of the bare relay\n",
-            t.name, t.best, t.cpu_us, t.best / targets[1].best);
-    load.rate = targets[2].best / 2;
+            "{:<14}{:>9.0f} requests/s {:>7.1f} us CPU per request {:>7.2f} of the bare relay\n",
+            target.name, target.best_rate, target.cpu_us, target.best_rate / targets[1].best_rate);
+    load.rate = targets[2].best_rate / 2;
     std::cout << fmt::format("at {:.0f} requests/s, half of the gateway's:\n", load.rate);
-    double p99[5] = {};
+    double p99_us[5] = {};
     for (int i = 0; i < 5; ++i) {
-        aim(targets[i]);
-        const auto r = bench::run(load);
-        p99[i] = r.percentile(0.99);
+        set_target(targets[i]);
+        const auto result = bench::run(load);
+        p99_us[i] = result.percentile(0.99);
         std::cout << fmt::format("{:<14}p50 {:>6.0f} us  p99 {:>6.0f} us  p99.9 {:>6.0f} us\n",
-                                 targets[i].name, r.percentile(0.5), p99[i], r.percentile(0.999));
+                                 targets[i].name, result.percentile(0.5), p99_us[i],
+                                 result.percentile(0.999));
     }
     std::cout << fmt::format(
         "added at the 99th percentile: {:.0f} us against the host, {:.0f} us against the relay\n",
-        p99[2] - p99[0], p99[2] - p99[1]);
-    std::cout << fmt::format("added by the node: {:.0f} us against its host\n", p99[4] - p99[3]);
+        p99_us[2] - p99_us[0], p99_us[2] - p99_us[1]);
+    std::cout << fmt::format("added by the node: {:.0f} us against its host\n",
+                             p99_us[4] - p99_us[3]);
 
     std::system(("rm -rf '" + folder + "'").c_str());
     return 0;
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -14,41 +14,41 @@
     FixedHost& host;
     event::Stream stream;
     std::string pending;
-    Connection(FixedHost& h, event::Fd fd) : host(h), stream(h.loop_, std::move(fd), *this) {}
+    Connection(FixedHost& parent, event::Fd fd)
+        : host(parent), stream(parent.loop_, std::move(fd), *this) {}
     void on_data(std::string_view bytes) override {
         pending.append(bytes);
         if (host.protocol_ == Protocol::resp) {
-            std::size_t taken = 0;
+            std::size_t consumed = 0;
             for (resp::CommandParser reader;
-                 reader.parse(std::string_view(pending).substr(taken)) ==
+                 reader.parse(std::string_view(pending).substr(consumed)) ==
                  resp::ParseStatus::complete;
                  reader.reset()) {
-                taken += reader.consumed();
-                stream.write(host.answer_);
+                consumed += reader.consumed();
+                stream.write(host.response_);
             }
-            pending.erase(0, taken);
+            pending.erase(0, consumed);
             return;
         }
-        for (auto at = pending.find("\r\n\r\n"); at != std::string::npos;
-             at = pending.find("\r\n\r\n")) {
-            pending.erase(0, at + 4);
-            stream.write(host.answer_);
+        for (auto head_end = pending.find("\r\n\r\n"); head_end != std::string::npos;
+             head_end = pending.find("\r\n\r\n")) {
+            pending.erase(0, head_end + 4);
+            stream.write(host.response_);
         }
     }
     void on_end() override { stream.close(); }
     void on_broken(int) override {}
 };
 
-FixedHost::FixedHost(event::Loop& loop, std::size_t body, Protocol protocol)
+FixedHost::FixedHost(event::Loop& loop, std::size_t body_size, Protocol protocol)
     : loop_(loop), protocol_(protocol) {
-    answer_ =
-        "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: " + std::to_string(body) +
-        "\r\n\r\n" + std::string(body, 'x');
+    response_ = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: " +
+                std::to_string(body_size) + "\r\n\r\n" + std::string(body_size, 'x');
     if (protocol == Protocol::resp) {
-        answer_.clear();
-        resp::append_array(answer_, 3);
-        resp::append_bulk(answer_, std::string(body, 'x'));
-        answer_ += "$-1\r\n$-1\r\n";
+        response_.clear();
+        resp::append_array(response_, 3);
+        resp::append_bulk(response_, std::string(body_size, 'x'));
+        response_ += "$-1\r\n$-1\r\n";
     }
     listener_ = std::make_unique<event::Listener>(
         loop, "127.0.0.1", 0, false, [] { return true; },
@@ -58,103 +58,110 @@
 }
 FixedHost::~FixedHost() = default;
 
-double Result::percentile(double p) const {
-    if (micros.empty()) return 0;
-    return micros[std::min(micros.size() - 1,
-                           static_cast<std::size_t>(p * static_cast<double>(micros.size())))];
+double Result::percentile(double share) const {
+    if (latencies_us.empty()) return 0;
+    return latencies_us[std::min(
+        latencies_us.size() - 1,
+        static_cast<std::size_t>(share * static_cast<double>(latencies_us.size())))];
 }
 
 namespace {
 struct Generator {
     struct Connection : event::StreamOwner {
-        Generator& g;
+        Generator& generator;
         event::Stream stream;
         std::string pending;
-        std::deque<Micros> due;  // when the request in hand should have left, which counts waiting
-                                 // for a connection
-        Connection(Generator& gen, event::Fd fd)
-            : g(gen), stream(gen.loop, std::move(fd), *this, true) {}
-        void begin(Micros at) {
-            due.push_back(at);
-            if (g.load.id_at > 0) {
+        // Due times of the requests in flight; latencies include the wait for a connection.
+        std::deque<Micros> due_times;
+        Connection(Generator& parent, event::Fd fd)
+            : generator(parent), stream(parent.loop, std::move(fd), *this, true) {}
+        void send(Micros due_at) {
+            due_times.push_back(due_at);
+            if (generator.load.id_offset > 0) {
                 char id[17];
-                std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(++g.ids));
-                g.request.replace(g.load.id_at, 16, id);
+                std::snprintf(id, sizeof id, "%016llx",
+                              static_cast<unsigned long long>(++generator.last_id));
+                generator.request.replace(generator.load.id_offset, 16, id);
             }
-            stream.write(g.request);
+            stream.write(generator.request);
         }
         void on_connected() override {
-            if (g.load.rate <= 0) begin(event::Loop::clock());
+            if (generator.load.rate <= 0) send(event::Loop::clock());
         }
         void on_data(std::string_view bytes) override {
             pending.append(bytes);
-            if (g.load.protocol == Protocol::resp) {
+            if (generator.load.protocol == Protocol::resp) {
                 resp::ReplyParser reader;
                 if (reader.parse(pending) != resp::ParseStatus::complete) return;
                 const resp::ReplyType type = reader.take().type;
-                return over(type == resp::ReplyType::bulk_string || type == resp::ReplyType::array,
-                            reader.consumed());
+                return on_response(
+                    type == resp::ReplyType::bulk_string || type == resp::ReplyType::array,
+                    reader.consumed());
             }
-            const std::size_t head = pending.find("\r\n\r\n");
-            if (head == std::string::npos) return;
-            const std::size_t length = pending.find("Content-Length: ");
-            const std::size_t body =
-                length < head ? std::strtoul(pending.c_str() + length + 16, nullptr, 10) : 0;
-            if (pending.size() < head + 4 + body) return;
-            over(pending.compare(9, 3, "200") == 0, head + 4 + body);
+            const std::size_t head_end = pending.find("\r\n\r\n");
+            if (head_end == std::string::npos) return;
+            const std::size_t length_field = pending.find("Content-Length: ");
+            const std::size_t body_size =
+                length_field < head_end
+                    ? std::strtoul(pending.c_str() + length_field + 16, nullptr, 10)
+                    : 0;
+            if (pending.size() < head_end + 4 + body_size) return;
+            on_response(pending.compare(9, 3, "200") == 0, head_end + 4 + body_size);
         }
-        void over(bool good, std::size_t size) {
-            g.answered(due.front(), good);
-            due.pop_front();
+        void on_response(bool is_good, std::size_t size) {
+            generator.record(due_times.front(), is_good);
+            due_times.pop_front();
             pending.erase(0, size);
-            if (g.load.rate <= 0)
-                begin(event::Loop::clock());
+            if (generator.load.rate <= 0)
+                send(event::Loop::clock());
             else
-                g.free(*this);
+                generator.release(*this);
         }
         void on_end() override { on_broken(0); }
         void on_broken(int) override {
             stream.close();
-            ++g.result.bad;
+            ++generator.result.failures;
         }
     };
     const Load& load;
     std::string request;
-    std::uint64_t ids = 0;
+    std::uint64_t last_id = 0;
     event::Loop loop;
     Result result;
-    Micros begin{0}, next{0};
+    Micros began_at{0}, next_due{0};
     std::vector<std::unique_ptr<Connection>> connections;
     std::vector<Connection*> idle;
-    std::deque<Micros> waiting;
+    std::deque<Micros> waiting_due;
 
-    explicit Generator(const Load& l) : load(l), request(l.request) {}
-    void answered(Micros at, bool good) {
+    explicit Generator(const Load& settings) : load(settings), request(settings.request) {}
+    void record(Micros due_at, bool is_good) {
         const Micros now = event::Loop::clock();
-        if (at < begin + load.warm_up || now > begin + load.warm_up + load.span) return;
-        if (!good)
-            ++result.bad;
+        if (due_at < began_at + load.warm_up || now > began_at + load.warm_up + load.duration)
+            return;
+        if (!is_good)
+            ++result.failures;
         else
-            ++result.answers, result.micros.push_back(static_cast<double>((now - at).count()));
+            ++result.responses,
+                result.latencies_us.push_back(static_cast<double>((now - due_at).count()));
     }
-    void free(Connection& c) {
-        if (waiting.empty()) return idle.push_back(&c);
-        c.begin(waiting.front());
-        waiting.pop_front();
+    void release(Connection& connection) {
+        if (waiting_due.empty()) return idle.push_back(&connection);
+        connection.send(waiting_due.front());
+        waiting_due.pop_front();
     }
-    void tick() {
+    void send_due() {
         const Micros now = event::Loop::clock();
         const Micros gap(static_cast<std::int64_t>(1e6 / load.rate));
-        for (; next <= now; next += gap) {
+        for (; next_due <= now; next_due += gap) {
             if (idle.empty()) {
-                waiting.push_back(next);
+                waiting_due.push_back(next_due);
                 continue;
             }
-            idle.back()->begin(next);
+            idle.back()->send(next_due);
             idle.pop_back();
         }
         loop.after(Micros(0),
-                   [this] { tick(); });  // spins: the system's timers are too coarse for this
+                   [this] { send_due(); });  // polls, as the system's timers are too coarse
     }
     Result run() {
         for (int i = 0; i < load.connections; ++i) {
@@ -163,16 +170,16 @@
                 *this, event::connect_to("127.0.0.1", load.port, false, error)));
             idle.push_back(connections.back().get());
         }
-        begin = next = event::Loop::clock();
+        began_at = next_due = event::Loop::clock();
         if (load.rate > 0)
             loop.after(Micros(20'000), [this] {
-                next = event::Loop::clock();
-                tick();
+                next_due = event::Loop::clock();
+                send_due();
             });
-        loop.after(load.warm_up + load.span, [this] { loop.stop(); });
+        loop.after(load.warm_up + load.duration, [this] { loop.stop(); });
         loop.run();
-        result.seconds = static_cast<double>(load.span.count()) / 1e6;
-        std::sort(result.micros.begin(), result.micros.end());
+        result.seconds = static_cast<double>(load.duration.count()) / 1e6;
+        std::sort(result.latencies_us.begin(), result.latencies_us.end());
         return std::move(result);
     }
 };
--- a/bench/load.h
+++ b/bench/load.h
@@ -1,5 +1,5 @@
-// A light load generator and host for measuring: fixed requests over kept connections, latencies
-// kept exactly.
+// A load generator and a host for benchmarks: fixed requests over persistent connections, with
+// exact latencies.
 #pragma once
 
 #include <memory>
@@ -18,10 +18,10 @@
     resp
 };
 
-// Answers every request head, or every RESP2 command, with the same bytes.
+// Sends the same response to every request head or every RESP2 command.
 class FixedHost {
   public:
-    FixedHost(event::Loop& loop, std::size_t body, Protocol protocol = Protocol::http);
+    FixedHost(event::Loop& loop, std::size_t body_size, Protocol protocol = Protocol::http);
     ~FixedHost();
     int port() const { return listener_->port(); }
 
@@ -29,29 +29,29 @@
     struct Connection;
     event::Loop& loop_;
     Protocol protocol_;
-    std::string answer_;
+    std::string response_;
     std::vector<std::unique_ptr<Connection>> connections_;
     std::unique_ptr<event::Listener> listener_;
 };
 
 struct Result {
     double seconds = 0;
-    std::uint64_t answers = 0, bad = 0;
-    std::vector<double> micros;  // latencies, sorted
-    double percentile(double p) const;
-    double rate() const { return static_cast<double>(answers) / seconds; }
+    std::uint64_t responses = 0, failures = 0;
+    std::vector<double> latencies_us;       // sorted
+    double percentile(double share) const;  // microseconds; share: 0 to 1
+    double rate() const { return static_cast<double>(responses) / seconds; }
 };
 
 struct Load {
     int port = 0;
     int connections = 64;
-    double rate =
-        0;  // requests a second in all; 0: each connection sends as soon as it is answered
-    Micros warm_up{500'000}, span{3'000'000};
+    // Requests per second of all connections; 0: each one sends after its response has arrived.
+    double rate = 0;
+    Micros warm_up{500'000}, duration{3'000'000};
     std::string request;
     Protocol protocol = Protocol::http;
-    std::size_t id_at =
-        0;  // where 16 digits stand in the request that are new each time; 0: nowhere
+    // Offset of 16 hexadecimal digits in the request that are replaced for each one; 0: none.
+    std::size_t id_offset = 0;
 };
 Result run(const Load& load);
 
