--- a/scenario_runner/fleet/fleet_metrics.cpp
+++ b/scenario_runner/fleet/fleet_metrics.cpp
@@ -10,8 +10,8 @@
 namespace {
 using namespace std::chrono_literals;
 constexpr std::size_t min_samples = 50;  // rejections below which no quantile is reported
-// Requests are measured after `start_up_time`; latencies also only after an account has sent
-// through the instance for `account_start_up_time`.
+// Served shares and rates are measured after `start_up_time`, latencies once the account has sent
+// requests through the instance for `account_start_up_time`.
 constexpr Micros start_up_time = 3s, window = 5s, window_step = 250ms, account_start_up_time = 1s;
 
 double ms(Micros duration) {
--- a/scenario_runner/fleet/virtual_fleet.cpp
+++ b/scenario_runner/fleet/virtual_fleet.cpp
@@ -13,7 +13,7 @@
 namespace {
 using namespace std::chrono_literals;
 constexpr Micros network_delay = 50us;    // one way, client to gateway and gateway to host
-constexpr Micros clock_start{1'000'000};  // no clock starts at 0
+constexpr Micros clock_start{1'000'000};  // virtual time starts above 0
 
 class Simulation {
   public:
--- a/scenario_runner/invariant_checker.cpp
+++ b/scenario_runner/invariant_checker.cpp
@@ -169,7 +169,7 @@
                                                                   *request.ends.front(), "reason"));
             for (const json* record : request.received)
                 if (is_rejected && record->value("taken", false))
-                    add_violation(invariant, fmt::format("{}: rejected although {} had accepted it",
+                    add_violation(invariant, fmt::format("{}: rejected although {} had taken it",
                                                          id, text_field(*record, "host")));
         }
     }
@@ -203,7 +203,7 @@
             const auto it = states.find({record.value("gateway", 0), text_field(record, "host")});
             if (it == states.end()) continue;
             count_check(invariant);
-            std::optional<Time> down_since;  // when discovery told the gateway
+            std::optional<Time> down_since;  // when the gateway received the change
             for (const ListedState& state : it->second) {
                 if (state.since > time_of(record)) break;
                 if (state.is_healthy)
@@ -214,7 +214,8 @@
             if (down_since && time_of(record) > *down_since + settings_.drain_grace.count() +
                                                     settings_.time_tolerance.count())
                 add_violation(invariant,
-                              fmt::format("{}: sent to {} by gateway {}, {} ms after it was told",
+                              fmt::format("{}: sent to {} by gateway {}, {} ms after it was listed "
+                                          "as draining or removed",
                                           text_field(record, "id"), text_field(record, "host"),
                                           record.value("gateway", 0),
                                           (time_of(record) - *down_since) / 1000));
