--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -225,12 +225,12 @@
 // which must stay 0.
 log::Fields Node::rule_fields() const {
     const core::Counters& counters = core_->counters();
-    log::Fields fields{{"stopped_choices", to_int64(counters.blocked_choices.sum())},
-                       {"stopped_handovers", to_int64(counters.blocked_sends.sum())}};
+    log::Fields fields{{"stopped_choices", to_int64(counters.blocked_choices.total())},
+                       {"stopped_handovers", to_int64(counters.blocked_sends.total())}};
     for (std::size_t i = 0; i < rules::block_reason_count; ++i) {
         const auto reason = static_cast<rules::BlockReason>(i);
         const std::uint64_t blocked =
-            counters.blocked_choices.of(reason) + counters.blocked_sends.of(reason);
+            counters.blocked_choices.count(reason) + counters.blocked_sends.count(reason);
         if (blocked > 0) fields.emplace_back(rules::to_string(reason), to_int64(blocked));
     }
     fields.emplace_back("late_answers", to_int64(counters.late_responses));
--- a/tests/decisions/stall_detector_test.cpp
+++ b/tests/decisions/stall_detector_test.cpp
@@ -1,4 +1,4 @@
-// A stall of this process must not be taken for an unresponsive peer.
+// A stall of this process must not make a peer count as unresponsive.
 #include "decisions/stall_detector.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 using namespace silverreach::decision_tests;
 using namespace std::chrono_literals;
 
-// After a stall the overdue timer of the lease request fires before the grant is read.
+// After a stall, the timer of the lease request fires before the grant that has arrived is handled.
 TEST(StallDetector, OwnStallDoesNotMakeTheLeaseOwnerUnresponsive) {
     constexpr Micros stall = 600ms;
     Settings settings = two_instance_settings();
@@ -36,18 +36,19 @@
 TEST(StallDetector, DetectsAnOverdueHeartbeatUntilTheNextOne) {
     StallDetector detector;
     detector.on_heartbeat(1s);
-    EXPECT_FALSE(detector.stalled(1s + StallDetector::stall_threshold));
+    EXPECT_FALSE(detector.is_stalled(1s + StallDetector::stall_threshold));
     const Micros late = 1s + StallDetector::stall_threshold + 1us;
-    EXPECT_TRUE(detector.stalled(late));
+    EXPECT_TRUE(detector.is_stalled(late));
     detector.on_heartbeat(late);
-    EXPECT_TRUE(detector.stalled(late)) << "events of the same time were read after the stall";
-    EXPECT_FALSE(detector.stalled(late + 1us));
+    EXPECT_TRUE(detector.is_stalled(late))
+        << "events at the time of the late heartbeat follow the stall";
+    EXPECT_FALSE(detector.is_stalled(late + 1us));
 }
 
 TEST(StallDetector, FirstHeartbeatIsNoStall) {
     StallDetector detector;
-    EXPECT_FALSE(detector.started());
+    EXPECT_FALSE(detector.has_started());
     detector.on_heartbeat(1h);
-    EXPECT_TRUE(detector.started());
-    EXPECT_FALSE(detector.stalled(1h));
+    EXPECT_TRUE(detector.has_started());
+    EXPECT_FALSE(detector.is_stalled(1h));
 }
