--- a/src/decisions/quota/customer_quota.cpp
+++ b/src/decisions/quota/customer_quota.cpp
@@ -107,7 +107,7 @@
 std::optional<Micros> CustomerQuota::known_shortage(double units) const {
     const Plan* const plan = this->plan();
     if (plan == nullptr) return std::nullopt;
-    if (context_.now < shortage_until_ && units >= min_short_units_)
+    if (context_.now < shortage_until_ && units >= min_denied_units_)
         return shortage_until_ - context_.now;
     const double rate = plan->rate > 0 ? plan->rate : plan->ceiling_rate;
     if (!has_recent_owner_report() || fleet_demand_rate_ <= excess_demand_factor * rate)
@@ -118,7 +118,7 @@
 
 void CustomerQuota::record_shortage(double units, Micros retry_after) {
     shortage_until_ = context_.now + retry_after;
-    min_short_units_ = units;
+    min_denied_units_ = units;
 }
 
 std::optional<Micros> CustomerQuota::admit_by_even_share(double units, Micros lease_timeout) {
@@ -185,7 +185,8 @@
     if (plan == nullptr) return;
     const Micros lease_time =
         std::max(Micros{0}, std::min(now, standing_lease_expires_at_) - last_refilled_at);
-    const double full_rate_s = standing_share_ * seconds(lease_time);  // at the plan's full rate
+    // Lease time scaled by the standing share: seconds of refilling at the plan's full rate.
+    const double full_rate_s = standing_share_ * seconds(lease_time);
     const double lease_units = full_rate_s * plan->rate;
     const double stored_units = std::clamp(standing_store_capacity() - units_, 0.0, lease_units);
     units_ += stored_units;
@@ -244,11 +245,12 @@
     holder_count_ = std::clamp(grant.holder_count, 1, context_.settings.instance_count);
     if (grant.holder_count > 0) {  // sent by the owner; successors grant no standing lease
         // A reduced share applies from the time of the request, as in the owner's ledger.
-        const double lost_full_rate_s =
+        const double reduction_full_rate_s =
             std::max(0.0, active_standing_share() - grant.standing_share) *
             seconds(context_.now - lease_requested_at_);
-        units_ -= lost_full_rate_s * plan.rate;
-        ceiling_units_ -= lost_full_rate_s * plan.ceiling_rate * common_ceiling_share(subset_.size);
+        units_ -= reduction_full_rate_s * plan.rate;
+        ceiling_units_ -=
+            reduction_full_rate_s * plan.ceiling_rate * common_ceiling_share(subset_.size);
         holder_count_ = grant.holder_count;
         fleet_demand_rate_ = grant.demand_rate;
         owner_reported_at_ = context_.now;
--- a/src/decisions/quota/customer_quota.h
+++ b/src/decisions/quota/customer_quota.h
@@ -86,8 +86,9 @@
     bool has_recent_owner_report() const;
 
     // Adds the units that the standing lease and the even share of the ceiling have brought since
-    // the last call. Leased units of the rate quota (of the ceiling in a plan without a rate quota)
-    // that exceed what may be stored here are returned to the owner with the next lease request.
+    // the last call. Leased units that exceed what may be stored here are returned to the owner
+    // with the next lease request: those of the rate quota, or of the ceiling in a plan without a
+    // rate quota.
     void refill();
     // Builds the next lease request: for `waiting_units`, the cost of the first waiting request,
     // or, if no request waits, for the demand until the next renewal. Deducts the units that the
@@ -141,7 +142,7 @@
     double fleet_demand_rate_ = 0;      // on all instances, as the owner reported
     Micros owner_reported_at_{0};       // 0: never
     Micros shortage_until_{0};
-    double min_short_units_ = 0;  // lowest request cost that is denied
+    double min_denied_units_ = 0;  // lowest request cost that is denied
 };
 
 }  // namespace silverreach
--- a/src/decisions/quota/lease_client.cpp
+++ b/src/decisions/quota/lease_client.cpp
@@ -51,9 +51,9 @@
     const Settings& settings = context_.settings;
     const int candidate_count =
         has_waiting_requests && !customer.has_recent_owner_report() ? max_candidates : 1;
-    for (int successor = 0;
-         successor < candidate_count && pending.sent_requests < max_sent_requests; ++successor) {
-        const int rank = quota_owner(customer.subset(), successor, settings.instance_count);
+    for (int candidate = 0;
+         candidate < candidate_count && pending.sent_requests < max_sent_requests; ++candidate) {
+        const int rank = quota_owner(customer.subset(), candidate, settings.instance_count);
         if (rank == settings.rank) return handle_grant(customer, ledger_.grant(request, rank));
         if (!settings.may_message_peers) continue;
         if (has_waiting_requests && mailbox_.is_unresponsive(rank)) continue;
--- a/src/decisions/quota/lease_terms.cpp
+++ b/src/decisions/quota/lease_terms.cpp
@@ -12,9 +12,9 @@
 constexpr Micros min_lease_lifetime{2'000'000};
 constexpr int lease_lifetime_periods = 4;  // renewals that may be lost before a lease expires
 
-// The evenly split share of a ceiling is even_split_instances / subset size, at most
-// max_even_split_share. It shrinks in large subsets, because most of their instances do not use
-// their part.
+// The share of a ceiling that is split evenly over the subset is even_split_instances / subset
+// size, and at most max_even_split_share. It is small in large subsets, because most of their
+// instances do not use their part.
 constexpr double max_even_split_share = 0.5;
 constexpr double even_split_instances = 2;
 
--- a/src/decisions/quota/quota_ledger.cpp
+++ b/src/decisions/quota/quota_ledger.cpp
@@ -10,14 +10,14 @@
 namespace silverreach {
 namespace {
 
-// Share of the burst in a new ledger, and the largest share in a successor's ledger. With the
-// complete burst, each restart would grant the burst again.
+// Share of the burst that a new ledger starts with, and the limit up to which a successor's ledger
+// refills. If a ledger started with the complete burst, each restart would grant the burst again.
 constexpr double initial_burst_share = 0.5;
 constexpr double max_leased_share = 0.9;  // sum of all standing leases of a customer
 // Approximate upper limit of a standing lease's rate, as a multiple of its holder's demand.
 constexpr double max_standing_demand_ratio = 2;
 constexpr double max_surplus_share = 0.5;  // of the pool beyond the required units, per grant
-constexpr double surplus_per_demand_share = 2;
+constexpr double surplus_to_demand_share_ratio = 2;
 constexpr Micros holder_idle_timeout{5'000'000};
 constexpr double max_wait_s = 60;
 constexpr double min_rate = 1e-9;  // units per second; avoids a division by 0
@@ -34,10 +34,10 @@
     // owner for the rate quota.
     bool is_owner;
     bool is_stale;        // an outdated or repeated request
-    double common_share;  // common share of the ceiling
-    // Time from which all active leases are known: those that an earlier incarnation of this
-    // instance granted have expired by then. If the complete subset has reported its leases, it is
-    // the start of this instance.
+    double common_share;  // common_ceiling_share() of the subset
+    // Time from which the ledger knows all active leases: the unknown ones, which an earlier
+    // incarnation of this instance granted, have expired by then. It is the start of this instance
+    // if every instance of the subset has reported its leases.
     Micros all_leases_known_at;
 
     // Rate and burst of the plan's main limit: the rate quota, or the ceiling if there is none.
@@ -101,29 +101,30 @@
         .all_leases_known_at = all_leases_known_at};
 }
 
-// The pool refills at the part of the rates, and up to the part of the burst, that the standing
-// leases do not use.
+// Refills the pool at the part of the rates that the standing leases do not use. Limits the units
+// of the rate quota to the part of the burst that the standing leases do not use.
 void QuotaLedger::refill(const GrantInput& input) {
     const Plan& plan = input.plan;
     const Micros now = context_.now;
     const Micros last_refilled_at = std::exchange(refilled_at_, now);
-    const double free_share = 1 - leased_share_;
-    // The unleased part of the time, in seconds at the plan's full rate.
-    const double free_full_rate_s = seconds(now - last_refilled_at) * free_share;
+    const double unleased_share = 1 - leased_share_;
+    // Elapsed time scaled by the unleased share: seconds of refilling at the plan's full rate.
+    const double unleased_full_rate_s = seconds(now - last_refilled_at) * unleased_share;
     const double leased_units =
         leased_share_ * terms_.standing_burst(plan.rate, plan.burst, input.request.subset_size) *
         (standing_store_share + standing_overdraft_share);
     const double max_units =
         input.is_owner ? plan.burst - leased_units : initial_burst_share * plan.burst;
-    units_ = std::min(max_units, units_ + free_full_rate_s * plan.rate);
+    units_ = std::min(max_units, units_ + unleased_full_rate_s * plan.rate);
     if (input.is_owner && now > input.all_leases_known_at)
         ceiling_units_ += seconds(now - std::max(last_refilled_at, input.all_leases_known_at)) *
-                          free_share * input.common_share * plan.ceiling_rate;
+                          unleased_share * input.common_share * plan.ceiling_rate;
 }
 
-// Updates the holder's entry except for the standing lease, which is granted later. If the request
-// shows that the last grant arrived, the units of the larger share that was assumed to be active
-// meanwhile are added back.
+// Updates the holder's entry except for the standing lease, which is granted later. Since the
+// holder's last request, the pool has refilled as if the larger of the granted and the requested
+// share were active. If the request shows that the holder received the last grant, the units that
+// were withheld for the difference are added back.
 void QuotaLedger::record_request(const GrantInput& input, LeaseHolder& holder) {
     const LeaseRequest& request = input.request;
     const Plan& plan = input.plan;
@@ -167,9 +168,10 @@
     return sum;
 }
 
-// The standing share follows the demand. It is 0 for the owner itself and for demand that is not
-// steady. It is also 0 if the part of the burst that is set aside for it does not cover a request
-// of average cost, because the lease would remain unused.
+// Returns the standing share for the requesting instance, which follows its share of the demand. It
+// is 0 for the owner itself and for demand that is not steady. It is also 0 if the part of the
+// burst that is set aside for it does not cover a request of average cost, because the lease would
+// remain unused.
 double QuotaLedger::standing_share_for(const GrantInput& input, double fleet_demand_rate) const {
     const LeaseRequest& request = input.request;
     if (!input.is_owner || input.rank == context_.settings.rank ||
@@ -207,8 +209,9 @@
         std::min(ceiling_units_, input.common_share * (plan.ceiling_burst - leased_ceiling_units));
 }
 
-// Time in seconds until the pool covers the required and the ceiling units; 0: it covers them.
-double QuotaLedger::wait_s(const GrantInput& input) const {
+// Returns the time in seconds until the pool covers the required units and the ceiling units; 0: it
+// covers them now.
+double QuotaLedger::time_to_cover_s(const GrantInput& input) const {
     const LeaseRequest& request = input.request;
     const Plan& plan = input.plan;
     double wait_time_s = 0;
@@ -222,12 +225,12 @@
 
 void QuotaLedger::grant_units(const GrantInput& input, LeaseGrant& grant) {
     const LeaseRequest& request = input.request;
-    const double wait_time_s = wait_s(input);
+    const double wait_time_s = time_to_cover_s(input);
     if (wait_time_s > 0)
         grant.wait_ms = static_cast<std::uint32_t>(std::min(wait_time_s, max_wait_s) * 1e3) + 1;
     if (wait_time_s > 0 && request.required_units > 0) return;
     const double surplus_share =
-        std::min(max_surplus_share, surplus_per_demand_share * request.demand_rate /
+        std::min(max_surplus_share, surplus_to_demand_share_ratio * request.demand_rate /
                                         std::max(grant.demand_rate, min_rate));
     const double surplus = (units_ - request.required_units) * surplus_share;
     grant.units =
--- a/src/decisions/quota/quota_ledger.h
+++ b/src/decisions/quota/quota_ledger.h
@@ -56,7 +56,7 @@
     double share_leased_to_others(int rank) const;
     double standing_share_for(const GrantInput& input, double fleet_demand_rate) const;
     void add_returned_units(const GrantInput& input);
-    double wait_s(const GrantInput& input) const;
+    double time_to_cover_s(const GrantInput& input) const;
     void grant_units(const GrantInput& input, LeaseGrant& grant);
 
     const DecisionContext& context_;
--- a/src/decisions/quota/quota_manager.h
+++ b/src/decisions/quota/quota_manager.h
@@ -2,9 +2,9 @@
 // this instance, the leases that instances request from and grant to each other, and the messages
 // between them.
 //
-// The engine passes events to it. missing_units() and missing_ceiling_units() say whether the
-// stores cover a request; if the request has to wait for a lease, the QuotaListener receives the
-// result.
+// The engine passes events to it. missing_units() and missing_ceiling_units() return the
+// units that the stores lack to cover a request. If the request has to wait for a lease, the
+// QuotaListener receives the result.
 #pragma once
 
 #include <cstdint>
