--- a/include/silverreach/interface.h
+++ b/include/silverreach/interface.h
@@ -27,9 +27,9 @@
 
 // The effect of executing the same request a second time.
 enum class Idempotency {
-    idempotent,       // none: the request may be retried and hedged
-    idempotency_key,  // none: endpoints drop it, within the deduplication scope and window
-    non_idempotent    // it repeats: retried only if no earlier attempt can have run
+    idempotent,       // no further effect: the request may be retried and hedged
+    idempotency_key,  // dropped by endpoints within the deduplication scope and window
+    non_idempotent    // the same effect again: retried only if no earlier attempt can have run
 };
 
 // The endpoints among which a repeated idempotency key is recognized.
@@ -87,7 +87,7 @@
     bool may_message_peers = false;
     bool may_send_retry_after = false;
     Micros max_retry_after{0};                 // longest Retry-After; 0: no limit
-    double peer_messages_per_second = 0;       // that one instance accepts from all peers together
+    double peer_messages_per_second = 0;       // accepted by one instance from all peers together
     bool units_corrected_by_response = false;  // AttemptEnded::actual_units replaces the estimate
     LoadReportMode load_report_mode = LoadReportMode::none;
     // Timers, and the behaviour and cost of endpoints.
--- a/src/decisions/admission/overload_detector.h
+++ b/src/decisions/admission/overload_detector.h
@@ -1,4 +1,4 @@
-// Detects overload of the endpoints as a whole by the share of slow responses and rejections.
+// Detects overload of all endpoints together by the share of slow responses and rejections.
 //
 // States: recovered and overloaded. The share that ends an overload is lower than the share that
 // begins it.
--- a/src/decisions/decision_context.h
+++ b/src/decisions/decision_context.h
@@ -48,7 +48,7 @@
     void emit(SpecificAction&& action) {
         actions_->emplace_back(std::forward<SpecificAction>(action));
     }
-    // Starts a timer that yields TimerFired after `delay`, but at least after 1 us.
+    // Starts a timer that yields TimerFired after `delay`, or after 1 us if `delay` is shorter.
     void start_timer(Micros delay, TimerKind kind, std::uint64_t subject) {
         emit(SetTimer{std::max(delay, Micros{1}), encode_timer_token(kind, subject)});
     }
--- a/src/decisions/dispatch/request_dispatcher.cpp
+++ b/src/decisions/dispatch/request_dispatcher.cpp
@@ -135,7 +135,7 @@
     }
 }
 
-// A rejection tells the client that it may repeat the request; a failure does not.
+// A rejection permits the client to retry the request; a failure does not.
 void RequestDispatcher::end_without_success(RequestState& request) {
     if (!retry_policy_.client_may_repeat(request)) {
         context_.emit(FailRequest{request.arrival.id});
--- a/src/decisions/load_balancing/attempt_assessment.cpp
+++ b/src/decisions/load_balancing/attempt_assessment.cpp
@@ -4,9 +4,9 @@
 
 namespace silverreach {
 
-// If the endpoint responded to other attempts meanwhile, a timeout is a sign of overload unless it
-// was short. Only if it did not, the timeout is a failure of the endpoint: clients with short
-// deadlines and costly requests must not eject healthy endpoints.
+// A timeout is a failure of the endpoint only if the endpoint has not responded to any attempt
+// since this one was sent. Otherwise it is a sign of overload, unless it was short. Clients with
+// short deadlines and costly requests thus cannot cause the ejection of healthy endpoints.
 AttemptAssessment assess(const AttemptEnded& ended, const Endpoint& endpoint,
                          const DecisionContext& context, double latency_objective_s) {
     const bool timed_out = ended.outcome == Outcome::timeout;
--- a/src/decisions/load_balancing/candidate_list.h
+++ b/src/decisions/load_balancing/candidate_list.h
@@ -1,4 +1,4 @@
-// The endpoints from which the endpoint of an attempt is chosen: two at most, the better one first.
+// The endpoints from which the endpoint of an attempt is chosen: at most two, the better one first.
 #pragma once
 
 #include <algorithm>
--- a/src/decisions/load_balancing/outlier_detector.cpp
+++ b/src/decisions/load_balancing/outlier_detector.cpp
@@ -11,7 +11,7 @@
 constexpr int max_ejection_doublings = 4;  // up to 8 s
 constexpr Micros failed_health_check_ejection_time = 250ms;
 constexpr Micros avoidance_time = 20s;
-constexpr int consecutive_overdue_to_avoid_class = 2;  // in a row
+constexpr int consecutive_overdue_to_avoid_class = 2;  // attempts
 }  // namespace
 
 void OutlierDetector::on_outcome(Endpoint& endpoint, Outcome outcome,
--- a/src/decisions/load_balancing/slow_start_tracker.h
+++ b/src/decisions/load_balancing/slow_start_tracker.h
@@ -51,10 +51,11 @@
         Micros began_at{0};           // on this instance's clock
         Micros last_listed_at{0};
     };
-    // An endpoint that is listed later, or with a new start time, counts as started now: with the
-    // listed time, a wall clock of this instance that is ahead would make the endpoint look warm,
-    // and one that is behind would keep it in slow start. For endpoints listed at the start of this
-    // instance only the listed time is known; a listed time in the future counts as now.
+    // An endpoint that is first listed after the initial window, or is listed with a new start
+    // time, counts as started now. With the listed time, a wall clock of this instance that is
+    // ahead would end the slow start too early, and one that is behind would prolong it. For
+    // endpoints listed within the initial window only the listed time is known; one in the future
+    // counts as now.
     Micros estimate_start(Micros listed_start_time, bool is_new, Micros now) const {
         if (listed_start_time <= Micros{0}) return Micros{0};
         const bool is_initial_endpoint =
--- a/src/decisions/retry/attempt_rules.h
+++ b/src/decisions/retry/attempt_rules.h
@@ -58,7 +58,7 @@
 // State of a client's connection.
 struct ConnectionRecord {
     std::size_t pending_requests = 0;
-    bool client_disconnected = false;  // closed or broken by the client
+    bool client_disconnected = false;  // closed by the client, or failed
 };
 
 using CheckResult = std::optional<BlockReason>;  // no value: allowed
--- a/src/decisions/retry/overdue_attempt_check.h
+++ b/src/decisions/retry/overdue_attempt_check.h
@@ -1,5 +1,5 @@
-// Detects attempts whose response is overdue because the endpoint failed silently, a connection is
-// broken or a process stalls.
+// Detects attempts whose response is overdue because the endpoint failed silently, a connection
+// failed or a process stalls.
 //
 // An endpoint that has not responded since the attempt was sent is ejected. An endpoint that
 // responds to other attempts has lost this one or leaves its request class unanswered; after two
