--- a/src/core/request_coordinator.cpp
+++ b/src/core/request_coordinator.cpp
@@ -161,8 +161,8 @@
         stop_attempt(now, key, Outcome::timeout);
 }
 
-// Queues events of calls that the environment makes while actions are carried out, so that the
-// engine handles one event at a time, in order.
+// The environment may call the coordinator while actions are carried out. The events of these calls
+// are queued, so that the engine handles one event at a time, in order.
 void RequestCoordinator::handle_event(Micros now, Event event) {
     event_queue_.push_back(std::move(event));
     if (is_handling_event_) return;
@@ -179,7 +179,7 @@
     is_handling_event_ = false;
 }
 
-// Reports an attempt that the rules block to the engine as not_started.
+// If the rules block the attempt, reports it to the engine as not_started.
 void RequestCoordinator::carry_out(Micros now, const SendAttempt& action) {
     const auto report_not_started = [&](bool request_completed) {
         event_queue_.emplace_back(AttemptEnded{.id = action.id,
--- a/src/core/request_coordinator.h
+++ b/src/core/request_coordinator.h
@@ -61,7 +61,7 @@
 
     AccountSubset subset_of(std::string_view account) const;
     const Counters& counters() const { return counters_; }
-    // Number of requests that are not erased yet.
+    // Number of requests that are not completed or have an attempt in flight.
     std::size_t in_flight() const { return requests_.size(); }
 
   private:
@@ -90,7 +90,8 @@
     RequestTable requests_;
     std::deque<Event> event_queue_;
     bool is_handling_event_ = false;
-    // True after the first call of begin_send(). Before it, unchecked attempts are not counted.
+    // True after the first call of begin_send(). Until then, unchecked attempts are not
+    // counted, because the transport may be one that does not call begin_send().
     bool transport_calls_begin_send_ = false;
     Counters counters_;
 };
