--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -5,8 +5,8 @@
 
 namespace silverreach::cli {
 
-// A start that fails because the system refuses a socket or an address is retried at the first
-// interval, until the second has passed.
+// A start that fails because the system refuses a socket or an address is retried every
+// `start_retry_interval` until `max_start_time` has passed.
 constexpr std::chrono::milliseconds start_retry_interval{50}, max_start_time{8'000};
 
 // Exit codes.
--- a/src/cli/keys.cpp
+++ b/src/cli/keys.cpp
@@ -196,7 +196,7 @@
     });
 
     auto* merge_command = add_command(
-        "merge", "Count the keys and requests of one account for another from now on", true);
+        "merge", "Attribute the keys and requests of one account to another from now on", true);
     merge_command->add_option("FROM", options->account)->required();
     merge_command->add_option("INTO", options->merge_target)->required();
     merge_command->callback([options, &exit_code] {
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -17,7 +17,7 @@
 const std::array<std::string, 2> failure_reason_names{"bad_answer", "no_time"};
 const std::array<std::string, 8> outcome_names{"good",           "error", "full",      "timeout",
                                                "connect_failed", "reset", "cancelled", "moot"};
-// Idle connections are closed this long before the host closes them.
+// Time by which an idle connection is closed before its host closes it.
 constexpr Micros host_idle_margin = 2s;
 
 Micros unix_now() {
--- a/src/cli/node.h
+++ b/src/cli/node.h
@@ -27,11 +27,12 @@
     ~Node() override;
 
     int port() const { return frontend_->port(); }
-    // Follows the discovery service of a new configuration. Other changes need a restart.
+    // Switches to the discovery service of the new configuration. Other changes need a restart.
     void reload(const platform::NodeConfig& new_config);
-    // Continues to serve for `notice`, in which clients may still connect, then stops listening and
-    // calls `done` once every connection has ended. Requests on open connections are answered if
-    // they are received within `request_window` from now. Further calls have no effect.
+    // Continues to serve for the duration `notice`, during which clients may still connect, then
+    // stops listening and calls `done` once every connection has ended. Requests on open
+    // connections are answered if they are received within `request_window` from now. Further calls
+    // have no effect.
     void drain(Micros notice, Micros request_window, std::function<void()> done);
     void log_counts();
     log::Fields limit_fields() const;  // of the configuration, for the log
--- a/src/cli/node_program.cpp
+++ b/src/cli/node_program.cpp
@@ -20,8 +20,8 @@
 using namespace std::chrono_literals;
 constexpr Micros counts_period = 10s;
 constexpr Micros drain_notice = 500ms;  // time for clients to learn that this instance stops
-// The platform sends SIGKILL this long after SIGTERM, plus the longest request deadline, of which
-// it counts no more than `max_counted_deadline`.
+// The platform sends SIGKILL when `kill_grace` and the longest request deadline have passed after
+// SIGTERM; a deadline above `max_counted_deadline` counts as `max_counted_deadline`.
 constexpr Micros kill_grace = 700ms, max_counted_deadline = 3s;
 constexpr Micros kill_margin = 100ms;   // time before SIGKILL for sending the last responses
 constexpr Micros max_config_wait = 3s;  // retry time for an unreadable or incomplete file
@@ -34,7 +34,7 @@
     return level && std::string_view(level) == "debug" ? log::Level::debug : log::Level::info;
 }
 
-// The file cannot be read or is not one JSON object. It may be in the middle of being written.
+// The file cannot be read or is not one JSON object, for example because it is being written.
 struct IncompleteConfig : std::runtime_error {
     IncompleteConfig(const std::string& reason, int code)
         : std::runtime_error(reason), exit_code(code) {}
@@ -73,7 +73,8 @@
     }
 
   private:
-    // Retries for a limited time after errors that may pass: of the system or an incomplete file.
+    // Retries for a limited time after errors that may be temporary: a system error or an
+    // incomplete file.
     void start() {
         if (stopping_) return loop_.stop();
         try {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -63,7 +63,7 @@
     virtual Found find_account(std::string_view key) = 0;
 };
 
-using AccountBook = KeyIndex;  // the former name, used in src/frontend
+using AccountBook = KeyIndex;  // former name, not used
 
 // The accounts and keys that the configuration lists.
 class StaticKeyIndex : public KeyIndex {
--- a/src/frontend/http/frontend.cpp
+++ b/src/frontend/http/frontend.cpp
@@ -24,7 +24,7 @@
     return text_;
 }
 
-Frontend::Frontend(event::Loop& loop, const config::Config& config, config::AccountBook& accounts,
+Frontend::Frontend(event::Loop& loop, const config::Config& config, config::KeyIndex& accounts,
                    core::RequestCoordinator& core, FrontendCallbacks callbacks)
     : context_{config,
                core,
--- a/src/frontend/http/frontend.h
+++ b/src/frontend/http/frontend.h
@@ -19,7 +19,7 @@
   public:
     // All arguments but `callbacks` must outlive the front end. Throws event::SystemError if it
     // cannot listen on the address of `config`.
-    Frontend(event::Loop& loop, const config::Config& config, config::AccountBook& accounts,
+    Frontend(event::Loop& loop, const config::Config& config, config::KeyIndex& accounts,
              core::RequestCoordinator& core, FrontendCallbacks callbacks);
 
     int port() const { return connections_.port(); }
--- a/src/frontend/http/request_resolver.h
+++ b/src/frontend/http/request_resolver.h
@@ -37,10 +37,10 @@
 // Configuration and accounts must outlive the resolver.
 class RequestResolver {
   public:
-    RequestResolver(const config::Config& config, config::AccountBook& accounts)
+    RequestResolver(const config::Config& config, config::KeyIndex& accounts)
         : config_(config), accounts_(accounts) {}
-    // Fills `resolved`, or returns the request's error; `resolved` then holds what was resolved
-    // before the error. `description` must outlive `resolved`.
+    // Fills `resolved`, or returns the request's error; `resolved` then contains what was
+    // resolved before the error. `description` must outlive `resolved`.
     std::optional<RequestError> resolve(const wire::Head& head,
                                         const openapi::Description& description,
                                         ResolvedRequest& resolved) const;
@@ -57,7 +57,7 @@
                                                  ResolvedRequest& resolved) const;
 
     const config::Config& config_;
-    config::AccountBook& accounts_;
+    config::KeyIndex& accounts_;
 };
 
 }  // namespace silverreach::frontend::http
