--- a/src/openapi/description.cpp
+++ b/src/openapi/description.cpp
@@ -312,7 +312,7 @@
     };
     using Parameters = std::map<std::pair<std::string, std::string>, Parameter>;  // by (in, name)
 
-    void read_parameters(const Value& owner, Parameters& into, const std::string& field) {
+    void read_parameters(const Value& owner, Parameters& parameters, const std::string& field) {
         const Value* list = owner.find("parameters");
         if (!list) return;
         if (!list->is(Kind::sequence)) return add_problem(*list, field + ".parameters", "a list");
@@ -337,7 +337,7 @@
             if (const Value* required = parameter->find("required");
                 required && !required->as(entry.required))
                 add_problem(*required, field + ".parameters[].required", "true or false");
-            into[{in, lowercase_if_header(in, name)}] = entry;
+            parameters[{in, lowercase_if_header(in, name)}] = entry;
         }
     }
     static std::string lowercase_if_header(const std::string& in, std::string name) {
--- a/src/openapi/document.h
+++ b/src/openapi/document.h
@@ -13,7 +13,7 @@
 // One error in a document: its line, the field and what was expected there.
 struct Problem {
     std::string file;
-    int line = 0;  // from 1; 0: the whole file
+    int line = 0;  // from 1; 0: the problem has no line
     std::string field;
     std::string expected;
 };
--- a/src/openapi/route.h
+++ b/src/openapi/route.h
@@ -1,4 +1,4 @@
-// The routes of an API and their look-up by method and path. No I/O.
+// The routes of an API and their lookup by method and path. No I/O.
 #pragma once
 
 #include <array>
@@ -62,7 +62,7 @@
 };
 
 // A tree of path templates by segment. Literal segments match before templates, as the
-// specification requires. A look-up tries the literal and the templates of each segment in
+// specification requires. A lookup tries the literal and the templates of each segment in
 // turn; its cost depends on the path and the templates that match it, not on the number of routes.
 class RouteTable {
   public:
