--- a/src/frontend/common/connection_manager.h
+++ b/src/frontend/common/connection_manager.h
@@ -26,9 +26,9 @@
     // that has lingered longest is closed. Unset: lingering connections count towards
     // max_connections, and only their timeout closes them.
     std::optional<std::size_t> max_lingering;
-    // Whether at max_connections a connection without work is evicted for a new one; otherwise the
-    // new one is closed. Off for HTTP, where the operator sets max_connections and how long clients
-    // may be idle.
+    // Whether a connection without work is evicted for a new one when max_connections is reached.
+    // If not, the new one is closed. False for HTTP, where the operator sets max_connections and
+    // how long clients may be idle.
     bool evict_idle = false;
     // Period of the timeout checks over all connections. 0: each connection schedules its own
     // checks, which avoids iterating over tens of thousands of idle ones.
--- a/src/frontend/resp/frontend.h
+++ b/src/frontend/resp/frontend.h
@@ -2,11 +2,11 @@
 // and writes each connection's responses in the order of its commands. platform::CommandValidator
 // decides whether a command is valid; the core decides how a request is handled.
 //
-// Protection against clients: connections without a complete command, or with an unfinished one,
-// are closed after a timeout; a malformed frame gets one error reply, then the connection is
-// closed; requests in flight, buffered bytes and unread responses are bounded; a connection that
-// keeps sending invalid commands is read more and more slowly; when descriptors run short, silent
-// and idle connections are closed first.
+// Protection against misbehaving clients: connections without a complete command, or with an
+// unfinished one, are closed after a timeout; a malformed frame gets one error reply, then the
+// connection is closed; requests in flight, buffered bytes and unread responses are bounded; a
+// connection that keeps sending invalid commands is read more and more slowly; when descriptors run
+// short, silent and idle connections are closed first.
 #pragma once
 
 #include <functional>
--- a/src/frontend/resp/resp_connection.cpp
+++ b/src/frontend/resp/resp_connection.cpp
@@ -33,8 +33,8 @@
 
 // ---- commands -------------------------------------------------------------------------------
 
-void RespConnection::account_input(std::size_t before) {
-    context_.buffer_budget.update(before, input_.size());
+void RespConnection::update_buffer_budget(std::size_t size_before) {
+    context_.buffer_budget.update(size_before, input_.size());
 }
 
 bool RespConnection::discard(std::size_t bytes) {
@@ -55,9 +55,9 @@
         if (!discard(bytes.size())) stream().set_reading(false);
         return;
     }
-    const std::size_t before = input_.size();
+    const std::size_t size_before = input_.size();
     input_.append(bytes);
-    account_input(before);
+    update_buffer_budget(size_before);
     arrivals().record(bytes.size(), stream().arrived_at());
     read_commands();
 }
@@ -73,13 +73,13 @@
 void RespConnection::read_commands() {
     if (reading_commands_ || state_ != State::open) return;
     reading_commands_ = true;
-    const std::size_t before = input_.size();
+    const std::size_t size_before = input_.size();
     std::size_t consumed = 0;
     const ReadResult result = read_batch(consumed);
     reading_commands_ = false;
     if (state_ == State::closed) return;
     consume_input(consumed);
-    account_input(before);
+    update_buffer_budget(size_before);
     flush();
     if (state_ == State::closed) return;
     // flush may have removed the reason for stopping, and no other event would resume reading.
@@ -324,9 +324,9 @@
     report_close(reason);
     start_wait(loop().now());
     unread_since_ = 0us;
-    const std::size_t before = input_.size();
+    const std::size_t size_before = input_.size();
     input_.clear();
-    account_input(before);
+    update_buffer_budget(size_before);
     start_lingering_close();
 }
 
--- a/src/frontend/resp/resp_connection.h
+++ b/src/frontend/resp/resp_connection.h
@@ -64,7 +64,7 @@
     void reject_command(std::string_view reason);
     bool must_defer_commands() const;
     void update_reading();
-    void account_input(std::size_t before);  // size before the change
+    void update_buffer_budget(std::size_t size_before);  // of input_, before a change
 
     // ---- responses and closing ----
     void flush();
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -26,13 +26,13 @@
     settings.on_header_field = [](http_parser* parser, const char* data, size_t size) {
         Parser& self = parser_from(parser);
         Fields& fields = self.current_fields();
-        if (std::exchange(self.last_was_value_, false)) fields.emplace_back();
+        if (std::exchange(self.last_callback_was_value_, false)) fields.emplace_back();
         fields.back().name.append(data, size);
         return 0;
     };
     settings.on_header_value = [](http_parser* parser, const char* data, size_t size) {
         Parser& self = parser_from(parser);
-        self.last_was_value_ = true;
+        self.last_callback_was_value_ = true;
         self.current_fields().back().value.append(data, size);
         return 0;
     };
@@ -63,7 +63,7 @@
     head_.has_content_length = (parser_.flags & F_CONTENTLENGTH) != 0;
     head_.content_length = head_.has_content_length ? parser_.content_length : 0;
     in_trailers_ = true;
-    last_was_value_ = true;
+    last_callback_was_value_ = true;
     is_informational_ = !is_request() && head_.status >= 100 && head_.status < 200;
     if (is_informational_) return 1;
     const bool no_body = is_response_to_head_ || head_.status == 204 || head_.status == 304;
@@ -146,7 +146,7 @@
     }
     trailers_.clear();
     in_trailers_ = false;
-    last_was_value_ = true;
+    last_callback_was_value_ = true;
     is_informational_ = false;
     state_ = State::reading_message;
     execute(head);
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -91,7 +91,7 @@
     Head head_;
     ChunkValidator chunk_validator_;
     Fields trailers_;
-    bool last_was_value_ = true;
+    bool last_callback_was_value_ = true;
     bool in_trailers_ = false;
     bool is_response_to_head_ = false;
     bool is_informational_ = false;  // the message is a 1xx response, which is skipped
