--- a/src/event/listener.cpp
+++ b/src/event/listener.cpp
@@ -151,8 +151,8 @@
 Listener::AcceptResult Listener::on_accept_failed(int error) {
     unwatched_since_ = waiting_since_;
     if (error == EMFILE || error == ENFILE) on_descriptor_shortage();
-    // Without a free descriptor accept() fails even if the queue is empty. A connection that is
-    // accepted later has then arrived after this time.
+    // Without a free descriptor accept() fails even if the queue is empty. If it is empty, the
+    // connections that are accepted later arrive after this time.
     if (!has_waiting_connection(fd_.get())) unwatched_since_ = loop_.now();
     return AcceptResult::unavailable;
 }
--- a/src/event/loop.cpp
+++ b/src/event/loop.cpp
@@ -24,7 +24,7 @@
     // A wait can fail, for example for lack of memory. By default libev aborts the process then;
     // with this callback it retries the wait after a pause.
     ev_set_syserr_cb([](const char*) noexcept { ::nanosleep(&failed_wait_pause, nullptr); });
-    if (!loop_) throw SystemError("event loop: the system offers no way to wait for sockets");
+    if (!loop_) throw SystemError("event loop: the system offers no mechanism to wait for sockets");
     now_ = wait_ended_ = ready_since_ = clock();
     ev_timer_init(
         &timer_,
@@ -88,8 +88,9 @@
     const bool stalled =
         armed_for_ != 0us && wait_ended_ > std::max(armed_for_, wait_began_) + stall_threshold;
     if (stalled) ready_since_ = wait_began_;
-    // A stopped process ends its wait like one that a signal interrupts, without polling: the next
-    // wait reports the descriptors that became ready in the meantime.
+    // When a stopped process continues, its wait ends without polling, as after a signal. The next
+    // wait reports the descriptors that became ready while the process was stopped, and therefore
+    // keeps ready_since_.
     else if (immediate && !stalled_)
         ready_since_ = last_wait_ended;
     else if (!immediate)
--- a/src/event/loop.h
+++ b/src/event/loop.h
@@ -28,9 +28,9 @@
     Micros now() const;
     static Micros clock();  // reads the same clock without the cache
     // The earliest time at which a descriptor that is ready in this turn may have become ready,
-    // provided that it was watched in the previous turn. A descriptor that becomes ready during the
-    // wait ends it, so this is usually now; one that became ready while the callbacks of the
-    // previous turn ran, or while the process was stalled, may have been ready earlier.
+    // provided that it was watched in the previous turn. Usually this is now, because a descriptor
+    // that becomes ready during a wait ends the wait. It is earlier if the descriptor may have
+    // become ready while the callbacks of the previous turn ran or while the process was stalled.
     Micros ready_since() const { return ready_since_; }
     std::uint64_t turn() const { return turn_; }  // number of waits so far
     // Calls `callback` once, `delay` from now; a negative delay counts as zero. Timers that are due
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -57,7 +57,8 @@
 
 void Stream::set_reading(bool enabled) {
     if (reading_ && !enabled && unwatched_since_ == 0us) unwatched_since_ = loop_.now();
-    // If nothing has arrived while the socket was not watched, it counts as watched until now.
+    // Without unread input, nothing arrived while the socket was not watched, so the bytes that
+    // are read later arrive from now on.
     if (!reading_ && !closed() && unwatched_since_ != 0us && !has_unread_input())
         unwatched_since_ = loop_.now();
     if (!reading_ && enabled) watched_from_turn_ = loop_.turn() + 1;
@@ -79,8 +80,8 @@
             if (!piece.empty() && message.msg_iovlen < max_pieces)
                 buffers[message.msg_iovlen++] = {const_cast<char*>(piece.data()), piece.size()};
         const ssize_t count = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
-        // An error is found again in the next turn. Reporting it there avoids calling on_error
-        // from within the owner's call of write().
+        // An error recurs in the next turn and is reported there, because on_error must not be
+        // called from within the owner's call of write().
         done = count > 0 ? static_cast<std::size_t>(count) : 0;
     }
     for (const std::string_view piece : pieces) {
--- a/src/event/stream.h
+++ b/src/event/stream.h
@@ -82,7 +82,7 @@
 };
 
 // Whether the errno of a failed connect has a local cause (no descriptor, memory, port, route or
-// permission) and so says nothing about the peer.
+// permission), which is not a fault of the peer.
 bool is_local_shortage(int error);
 // Starts a non-blocking connect and returns its socket, with `error` set to 0. If a system call
 // fails immediately, returns an invalid descriptor and sets `error` to the errno.
--- a/src/upstream/common/connection_pool.cpp
+++ b/src/upstream/common/connection_pool.cpp
@@ -207,7 +207,7 @@
     retired_.schedule(std::move(connection));
 }
 
-// Closes unused connections at their time-outs and removes hosts that are no longer listed.
+// Closes unused connections at their timeouts and removes hosts that are no longer listed.
 void ConnectionPool::sweep() {
     for (auto& [name, host] : hosts_)
         close_unused(*host, [&](const PooledConnection& connection) {
--- a/src/upstream/common/connection_pool.h
+++ b/src/upstream/common/connection_pool.h
@@ -1,5 +1,5 @@
 // Manages the connections to all hosts of one protocol: reuse (most recently used first), limits,
-// eviction, idle time-outs, and closing connections to hosts that are no longer listed. The pool
+// eviction, idle timeouts, and closing connections to hosts that are no longer listed. The pool
 // does not decide to which host an attempt is sent, when, or how often.
 //
 // Runs on the loop's thread and owns its connections. A retired connection is closed immediately
@@ -29,7 +29,7 @@
     connect_refused      // connect() failed immediately for another reason
 };
 // Returns the outcome of an attempt that got no connection: `not_started` for the pool limit and a
-// local shortage, which say nothing about the host, otherwise `connect_failed`.
+// local shortage, which are not faults of the host, otherwise `connect_failed`.
 Outcome outcome_of(AcquireError error);
 
 // What a connection is acquired for.
@@ -71,7 +71,7 @@
     ConnectionPool(event::Loop& loop, PoolPolicy policy, Factory factory);
 
     bool has_host(const std::string& host) const { return hosts_.contains(host); }
-    // Adds a host as listed. Does nothing if it is known already.
+    // Adds a host, which counts as listed in discovery. Does nothing if the host is known already.
     void add_host(const std::string& host, std::optional<config::Endpoint> address);
     // Closes unused connections to hosts that are unavailable or have a new address; connections in
     // use are closed at the end of their exchanges. `complete`: hosts without an update are no
--- a/src/upstream/common/pool_policy.h
+++ b/src/upstream/common/pool_policy.h
@@ -21,7 +21,7 @@
     // Evicts an unused connection if the system has no descriptor for a new one. Set for RESP, as
     // the RESP gateway runs close to its descriptor limit by design.
     bool evict_on_descriptor_shortage = false;
-    // Discards an idle connection on reuse if it has reached the idle time-out, was opened to an
+    // Discards an idle connection on reuse if it has reached the idle timeout, was opened to an
     // earlier address of its host, or has unread input. Needed for RESP, whose hosts move between
     // addresses. An HTTP host is identified by its address, and a reset of its connection counts as
     // a reset of the attempt.
@@ -35,7 +35,7 @@
     // Idle time after which only idempotent requests reuse a connection, because its host may be
     // closing it. `Micros::max()`: no limit.
     Micros non_idempotent_reuse_limit = Micros::max();
-    Micros sweep_interval{0};  // time between checks of the two time-outs
+    Micros sweep_interval{0};  // time between checks of the two timeouts
 };
 
 }  // namespace silverreach::upstream
--- a/src/upstream/http/attempt_callbacks.h
+++ b/src/upstream/http/attempt_callbacks.h
@@ -29,7 +29,7 @@
     // body.
     virtual void on_response_ended(const core::AttemptKey& key, bool complete,
                                    const http::Fields& trailers) = 0;
-    // The attempt got no successful response. `status` is 0 if it got no response at all.
+    // The attempt ended without a successful response. `status` is 0 if it received no response.
     virtual void on_attempt_ended(const core::AttemptKey& key, const std::string& host,
                                   Outcome outcome, Micros elapsed, const LoadReport& report,
                                   int status) = 0;
--- a/src/upstream/http/upstream_connection.cpp
+++ b/src/upstream/http/upstream_connection.cpp
@@ -125,8 +125,8 @@
 
 void UpstreamConnection::complete_response(bool has_trailing_bytes) {
     const bool was_delivered = std::exchange(deliver_body_, false);
-    // If the response came before the whole request was sent, the host would read the rest of the
-    // request as the next one.
+    // If the response came before the complete request was sent, the host would read the rest of
+    // the request as the next one.
     const bool reusable =
         !close_after_response_ && !has_trailing_bytes && request_sent() && !stream().closed();
     const core::AttemptKey ended_key = key();
--- a/src/upstream/resp/upstream_connection.cpp
+++ b/src/upstream/resp/upstream_connection.cpp
@@ -92,7 +92,7 @@
 void UpstreamConnection::on_complete_reply() {
     const bool has_trailing_bytes = reader_.has_trailing_bytes();
     if (has_trailing_bytes) ++context_.counters.trailing_bytes;
-    // If the reply came before the whole command was sent, the host would read the rest of the
+    // If the reply came before the complete command was sent, the host would read the rest of the
     // command as the next one.
     const bool reusable = !has_trailing_bytes && request_sent();
     const bool error_line = reader_.is_error_line();
