--- a/src/accounts/change.h
+++ b/src/accounts/change.h
@@ -39,7 +39,7 @@
     std::string account;
     std::string plan;
 };
-// Requests and keys of `from` count for `into` from now on.
+// Attributes the requests and keys of `from` to `into` from now on.
 struct MergeAccounts {
     std::string from;
     std::string into;
--- a/src/accounts/registry.cpp
+++ b/src/accounts/registry.cpp
@@ -101,8 +101,8 @@
         return failed_precondition("account " + operation.from + " has been merged into " +
                                    from->merged_into + " already");
     if (resolve_merges(operation.into) == operation.from)
-        return failed_precondition("account " + operation.into + " counts for " + operation.from +
-                                   ", which cannot be merged into it");
+        return failed_precondition("account " + operation.into + " is attributed to " +
+                                   operation.from + ", which cannot be merged into it");
     return std::nullopt;
 }
 
--- a/src/accounts/registry.h
+++ b/src/accounts/registry.h
@@ -26,7 +26,8 @@
 };
 struct Account {
     std::string plan;
-    std::string merged_into;  // the account that its requests and keys count for; empty: itself
+    // The account to which its requests and keys are attributed; empty: not merged.
+    std::string merged_into;
 };
 
 enum class KeyStatus {
@@ -42,7 +43,8 @@
 
 struct KeyLookup {
     KeyStatus status = KeyStatus::unknown;
-    // The account that the key counts for, after merges, and its plan; empty if the key is unknown.
+    // The account to which the key is attributed, after merges, and its plan; empty if the key is
+    // unknown.
     std::string account;
     std::string plan;
     std::string key_id;
@@ -75,7 +77,7 @@
     // By name, with the registry version that added the plan.
     const std::map<std::string, std::uint64_t>& plans() const { return plans_; }
     const std::unordered_map<std::string, Key>& keys() const { return keys_; }  // by id
-    // Returns the account that `account` counts for, after all merges.
+    // Returns the account to which `account` is attributed, after all merges.
     std::string resolve_merges(const std::string& account) const;
     const Pepper& pepper() const { return pepper_; }
 
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -198,7 +198,7 @@
     });
 }
 
-// Detects a service that is gone although its connection stays open.
+// Detects a service that no longer responds although its connection stays open.
 void DiscoveryWatch::check_activity() {
     if (state_ == State::backing_off) return;
     const Micros timeout = state_ == State::streaming ? timeouts_.inactivity : first_list_timeout_;
--- a/src/registry/store.cpp
+++ b/src/registry/store.cpp
@@ -8,7 +8,7 @@
 namespace silverreach::registry {
 namespace {
 constexpr const char* outcome_unknown_note =
-    "; whether the change was made is known after the registry has been opened again";
+    "; open the registry again to find out whether the change was made";
 }
 
 Store::Store(const std::string& folder, Mode mode, bool create, Disk& disk)
