--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -77,7 +77,8 @@
     frontend_ = std::make_unique<frontend::resp::Frontend>(loop, config_.listen, command_validator_,
                                                            frontend_limits, *core_,
                                                            [this] { return now(); });
-    frontend_->on_shortage([this] { return upstream_->evict_unused() || frontend_->close_idle(); });
+    frontend_->set_shortage_handler(
+        [this] { return upstream_->evict_unused() || frontend_->close_idle(); });
     frontend_->on_close([this](const frontend::resp::ConnectionClose& close) {
         if (!log_.is_enabled(log::Level::debug)) return;
         log_.write(log::Level::debug, "client_closed",
--- a/src/frontend/common/connection_manager.h
+++ b/src/frontend/common/connection_manager.h
@@ -69,7 +69,7 @@
     // `deadline`: see DrainManager.
     void start_draining(Micros deadline);
     // Sets the function that is called while descriptors are short; see Listener::set_close_idle.
-    void on_shortage(std::function<bool()> close_idle) {
+    void set_shortage_handler(std::function<bool()> close_idle) {
         listener_->set_close_idle(std::move(close_idle));
     }
     // Evicts a connection without work to free its descriptor; returns false if there is none.
--- a/src/frontend/resp/frontend.h
+++ b/src/frontend/resp/frontend.h
@@ -57,8 +57,8 @@
     // ---- connections ----
     // See ConnectionManager.
     bool close_idle() { return connections_.close_idle(); }
-    void on_shortage(std::function<bool()> close_idle) {
-        connections_.on_shortage(std::move(close_idle));
+    void set_shortage_handler(std::function<bool()> close_idle) {
+        connections_.set_shortage_handler(std::move(close_idle));
     }
     // Stops listening. A connection closes once its last request is answered; requests that are
     // received before `deadline` (on the loop's clock) are still answered. After that, a connection
