--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -17,7 +17,7 @@
 const std::array<std::string, 2> failure_reason_names{"bad_answer", "no_time"};
 const std::array<std::string, 8> outcome_names{"good",           "error", "full",      "timeout",
                                                "connect_failed", "reset", "cancelled", "moot"};
-// Idle connections are closed this long before the host closes them.
+// Time by which an idle connection is closed before its host closes it.
 constexpr Micros host_idle_margin = 2s;
 
 Micros unix_now() {
@@ -77,7 +77,8 @@
     frontend_ = std::make_unique<frontend::resp::Frontend>(loop, config_.listen, command_validator_,
                                                            frontend_limits, *core_,
                                                            [this] { return now(); });
-    frontend_->on_shortage([this] { return upstream_->evict_unused() || frontend_->close_idle(); });
+    frontend_->set_shortage_handler(
+        [this] { return upstream_->evict_unused() || frontend_->close_idle(); });
     frontend_->on_close([this](const frontend::resp::ConnectionClose& close) {
         if (!log_.is_enabled(log::Level::debug)) return;
         log_.write(log::Level::debug, "client_closed",
--- a/src/frontend/common/connection_manager.h
+++ b/src/frontend/common/connection_manager.h
@@ -26,9 +26,9 @@
     // that has lingered longest is closed. Unset: lingering connections count towards
     // max_connections, and only their timeout closes them.
     std::optional<std::size_t> max_lingering;
-    // Whether at max_connections a connection without work is evicted for a new one; otherwise the
-    // new one is closed. Off for HTTP, where the operator sets max_connections and how long clients
-    // may be idle.
+    // Whether a connection without work is evicted for a new one when max_connections is reached.
+    // If not, the new one is closed. False for HTTP, where the operator sets max_connections and
+    // how long clients may be idle.
     bool evict_idle = false;
     // Period of the timeout checks over all connections. 0: each connection schedules its own
     // checks, which avoids iterating over tens of thousands of idle ones.
@@ -69,7 +69,7 @@
     // `deadline`: see DrainManager.
     void start_draining(Micros deadline);
     // Sets the function that is called while descriptors are short; see Listener::set_close_idle.
-    void on_shortage(std::function<bool()> close_idle) {
+    void set_shortage_handler(std::function<bool()> close_idle) {
         listener_->set_close_idle(std::move(close_idle));
     }
     // Evicts a connection without work to free its descriptor; returns false if there is none.
