--- a/src/frontend/resp/frontend.h
+++ b/src/frontend/resp/frontend.h
@@ -2,11 +2,11 @@
 // and writes each connection's responses in the order of its commands. platform::CommandValidator
 // decides whether a command is valid; the core decides how a request is handled.
 //
-// Protection against clients: connections without a complete command, or with an unfinished one,
-// are closed after a timeout; a malformed frame gets one error reply, then the connection is
-// closed; requests in flight, buffered bytes and unread responses are bounded; a connection that
-// keeps sending invalid commands is read more and more slowly; when descriptors run short, silent
-// and idle connections are closed first.
+// Protection against misbehaving clients: connections without a complete command, or with an
+// unfinished one, are closed after a timeout; a malformed frame gets one error reply, then the
+// connection is closed; requests in flight, buffered bytes and unread responses are bounded; a
+// connection that keeps sending invalid commands is read more and more slowly; when descriptors run
+// short, silent and idle connections are closed first.
 #pragma once
 
 #include <functional>
@@ -57,8 +57,8 @@
     // ---- connections ----
     // See ConnectionManager.
     bool close_idle() { return connections_.close_idle(); }
-    void on_shortage(std::function<bool()> close_idle) {
-        connections_.on_shortage(std::move(close_idle));
+    void set_shortage_handler(std::function<bool()> close_idle) {
+        connections_.set_shortage_handler(std::move(close_idle));
     }
     // Stops listening. A connection closes once its last request is answered; requests that are
     // received before `deadline` (on the loop's clock) are still answered. After that, a connection
